--- a/hollystage/interface.py
+++ b/hollystage/interface.py
@@ -1,6 +1,8 @@
-"""The types that the decision module speaks; an adapter fills them in and carries the actions out.
+"""Types shared by the decision module and its adapters.
 
-Times are whole microseconds, memory is in kilobytes. RPCs are objects here; ids belong to the adapter.
+An adapter (service or benchlink) creates an Rpc for each request, reports events to Control and carries out the
+actions that Control returns. All times are whole microseconds and memory is in kilobytes. RPCs are identified
+by object; wire ids are known to the adapter only.
 """
 from __future__ import annotations
 
@@ -11,15 +13,15 @@
 
 
 class Kind(Enum):
-    """Whether an RPC of a method may run again."""
+    """Whether an RPC of a method may run more than once."""
 
     IDEMPOTENT = "idempotent"
-    TOKENED = "tokened"
+    TOKENED = "tokened"  # repeats are recognized by an idempotency key and run once
     NON_IDEMPOTENT = "non-idempotent"
 
 
 class Halt(Enum):
-    """What taking an RPC off the cores does to its work."""
+    """What happens to the work of an RPC that the interpreter is asked to halt."""
 
     NONE = "none"
     ABORT = "abort"
@@ -27,7 +29,11 @@
 
 
 class Say(Enum):
-    """What the free value on answers means to the callers that heed it."""
+    """Meaning of the load signal, the number on answers by which callers adjust how much they send.
+
+    THRESHOLD: callers withhold RPCs below this rank of criticality. WINDOW: the largest number of open RPCs for
+    each caller. SHARE: the share of its RPCs that a caller may send.
+    """
 
     NONE = "none"
     THRESHOLD = "threshold"
@@ -36,7 +42,11 @@
 
 
 class Outcome(IntEnum):
-    """How a run, a join or a call below ended."""
+    """How a run, a joined run or a downstream call ended.
+
+    FULL: refused because the callee was full. MOOT: the result no longer matters, for example because the run
+    never started. Names in lower case appear in metrics.
+    """
 
     OK = 0
     ERROR = 1
@@ -50,6 +60,17 @@
 
 @dataclass(slots=True, eq=False)
 class Method:
+    """An RPC method and its objectives.
+
+    Attributes:
+        kind: Whether it may run more than once.
+        criticality: Value of one RPC answered within its latency target.
+        latency_target: Time from arrival within which an answer has its full value, microseconds.
+        deadline: Time from arrival after which an answer is worthless, microseconds.
+        window: How long an idempotency key is remembered, microseconds.
+        skip_share: Share of the criticality that remains if the downstream call is skipped; 0 if it cannot be.
+    """
+
     kind: Kind
     criticality: float
     latency_target: int
@@ -60,12 +81,24 @@
 
 @dataclass(slots=True, eq=False)
 class Tenant:
+    """A tenant and its quota, RPCs a second over all instances; 0 for no quota."""
+
     quota_per_s: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class Pool:
-    """Shares of the running limit and of the calls below; `retries` of first calls, `floor` of them a second."""
+    """A group of methods with a guaranteed share of the run limit and of the downstream calls.
+
+    Attributes:
+        guaranteed: Share that the pool can always use.
+        ceiling: Largest share that it may use by borrowing from other pools.
+        lends: Whether other pools may borrow the part of its guarantee that it does not use.
+        heir: Name of the pool that takes over its RPCs if the pool is removed.
+        retry_ratio: Retries of downstream calls that are allowed for each first call.
+        min_retries_per_s: Retries a second that are allowed however few first calls there are.
+        limit_policy: Policy of the pool's own limit on concurrent calls; empty for no such limit.
+    """
 
     name: str
     guaranteed: float
@@ -74,12 +107,12 @@
     heir: str = ""
     retries: float = 0.1
     floor: float = 1.0
-    limit: str = ""  # the policy of a limit of its own on its calls; none if empty
+    limit: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class Reserve:
-    """Shares kept for the cheapest work: of the running limit, of memory, of calls."""
+    """Shares of the run limit, of memory and of downstream calls that are kept back for the cheapest work."""
 
     running: float = 0.0
     memory: float = 0.0
@@ -88,7 +121,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Pooling:
-    """The pools, and which each method (by its number) belongs to; the last pool takes those that are in none."""
+    """Configuration of the pools.
+
+    Attributes:
+        pools: All pools; the last one also takes methods that `pool_of_method` does not list.
+        pool_of_method: Index of the pool for each method, by the method's number.
+        reserve: Capacity kept back for the cheapest work.
+    """
 
     pools: tuple[Pool, ...] = ()
     of: tuple[int, ...] = ()
@@ -97,7 +136,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Below:
-    """The limit on calls: its policy and its bounds; `most` 0 for nine tenths of this instance's share."""
+    """Policy and bounds of the limit on concurrent downstream calls.
+
+    Attributes:
+        policy: Name of a policy in `decisions.calls.limits.POLICIES`.
+        min_limit: Lower bound; 0 for a tenth of this instance's share.
+        max_limit: Upper bound; 0 for nine tenths of this instance's share.
+    """
 
     policy: str = "window"
     least: float = 0.0
@@ -106,20 +151,53 @@
 
 @dataclass(slots=True)
 class Seat:
-    """An RPC's pool by its number; when the pools change it names the one that took it over, -1 for none."""
+    """Reference to a pool that stays valid when the pools change.
+
+    Attributes:
+        number: Index of the pool; -1 if pools were removed altogether.
+        successor: Reference to the pool that took this one over, once the pools have changed.
+    """
 
     number: int
     heir: Seat | None = None
 
     def find(self) -> int:
-        seat = self
-        while seat.heir is not None:
-            seat = seat.heir
-        return seat.number
+        """Index of the current pool, after all changes of the pools."""
+        ref = self
+        while ref.heir is not None:
+            ref = ref.heir
+        return ref.number
 
 
 @dataclass(slots=True)
 class Settings:
+    """Settings of one decision module.
+
+    Attributes:
+        memory: Memory of the instance, kilobytes.
+        run_factor: Memory of a started RPC as a multiple of the size that was read.
+        key_size: Memory that one remembered idempotency key takes, kilobytes.
+        peers: Number of instances that share the tenants' quotas.
+        over_quota_worth: Value of an RPC beyond its tenant's quota, as a share of the method's criticality.
+        cold: Whether the instance starts cold, that is, slower than usual.
+        cold_from: Speed of a cold instance right after its start, as a share of the usual speed.
+        warm_after: Time after which a cold instance has its usual speed, microseconds.
+        fall_multiple: Number of started RPCs for each core at which throughput collapses.
+        drain_grace: Time after the start of a drain during which arriving RPCs are still accepted, microseconds.
+        calls_out: This instance's share of the downstream dependency's concurrent calls.
+        call_averaging_span: Span over which the dependency averages its concurrent calls, microseconds.
+        linger: How long the dependency may keep working on a call that was abandoned, microseconds.
+        gauges: Names of the gauges that the interpreter reports, in order.
+        max_retry_after: Longest advice when to retry, microseconds; 0 for no advice.
+        max_idle: Longest idle time of a kept connection, microseconds; 0 for no limit.
+        pooling: The pools; None for a single queue.
+        call_limit: The limit on concurrent downstream calls.
+        criticality_per_work: Whether criticality is counted for each unit of work instead of for each RPC.
+        promises: Whether an advice when to retry reserves a place for that time.
+        downstream_tier: Whether calls go to a tier of servers that limit their own load instead of to a shared
+            dependency.
+    """
+
     methods: list[Method]
     cores: int
     memory: float
@@ -136,65 +214,99 @@
     halt: Halt = Halt.NONE
     say: Say = Say.NONE
     calls_out: float = 0.0
-    calls_over: int = 5_000_000  # the span over which what is below averages the calls it holds
+    calls_over: int = 5_000_000
     linger: int = 0
     gauges: list[str] = field(default_factory=list)
     longest_advice: int = 0
     longest_idle: int = 0
     pooling: Pooling | None = None
     below: Below = Below()
-    by_work: bool = False  # criticality is counted for each unit of work, not for each RPC
-    promises: bool = False  # a time to come back sets a place aside
-    tier_below: bool = False  # calls go to a tier of servers that guard themselves, not a shared dependency
+    by_work: bool = False
+    promises: bool = False
+    tier_below: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class Rpc:
-    """One RPC as it was read; the fields from `due` on belong to the decision module."""
+    """One RPC and its scheduling state.
+
+    The adapter sets the fields before `due`; the decision module sets the others.
+
+    Attributes:
+        caller: Number that identifies the caller or its connection.
+        tenant: The tenant; None if tenants are not configured.
+        size: Memory that the RPC takes once read, kilobytes.
+        timeout: How long the caller still waits, microseconds; 0 if unknown.
+        unread_time: How long the RPC lay unread before it was read, microseconds.
+        is_retry: Whether the caller marked it as a retry or a second copy.
+        earlier: The remembered RPC with the same idempotency key, if there is one.
+        work_hint: The caller's estimate of its work, microseconds on a usual core; 0 if none was given.
+        due: Time by which it has to be answered.
+        target: Time up to which its answer has its full value.
+        tag: Finish tag; the queues are ordered by it.
+        level: Class level in the token bucket cascade, from 1.
+        state: One of the states of `policy.buckets`, such as RUNNING; empty before the first one.
+        ran: Whether it was started.
+        answered: Whether its answer was decided.
+        state_since: Time of the last change of state.
+        off_core_time: Time since its start that it was waiting for a call or calling, microseconds.
+        pool_ref: Its pool, if pools are configured.
+        uses_reserve: Whether its present place on the cores or at a call belongs to the reserve.
+        calls_made: Number of downstream calls.
+        promised: Whether its caller was advised to retry at this time.
+        lifecycle: Generator that carries it through its states; None once it is over.
+    """
 
     method: Method
     caller: int
     tenant: Tenant | None
     size: float
-    patience: int  # how long the caller still waits; 0 where that is not passed on
-    waited: int = 0  # how long it lay unread
-    further: bool = False  # marked as a further try or a second copy
-    earlier: Rpc | None = None  # the kept RPC that this one repeats
-    hint: int = 0  # its work as the caller guesses it, microseconds on a usual core; 0 where none is given
+    patience: int
+    waited: int = 0
+    further: bool = False
+    earlier: Rpc | None = None
+    hint: int = 0
     due: int = 0
     target: int = 0
     tag: int = 0
-    level: int = 0  # latency class, from 1
+    level: int = 0
     place: str = ""
     ran: bool = False
     answered: bool = False
     since: int = 0
     off_cores: int = 0
     seat: Seat | None = None
-    spare: bool = False  # on the reserve: its place now, on the cores or at a call
-    called: int = 0  # calls below
-    promised: bool = False  # its caller was told to come now
+    spare: bool = False
+    called: int = 0
+    promised: bool = False
     life: Generator[Any, Any, None] | None = None
 
 
 class Do(Enum):
-    START = 1
-    PUSH_BACK = 2
-    ABORT = 3
-    HALT = 4
-    CALL = 5
-    SKIP = 6
-    KEEP = 7
-    FORGET = 8
-    JOIN = 9
-    HEALTH = 10
-    SAY = 11
-    TIMER = 12
-    IDLE = 13
+    """What the adapter is to do."""
+
+    START = 1  # start the RPC on the cores
+    PUSH_BACK = 2  # answer without running; `flag`: advise against a retry, `duration`: when to retry
+    ABORT = 3  # answer with an error; the RPC may have run
+    HALT = 4  # take its work off the cores
+    CALL = 5  # make the downstream call; `duration`: its timeout
+    SKIP = 6  # continue the run without its downstream call
+    KEEP = 7  # remember its idempotency key; `duration`: for how long
+    FORGET = 8  # forget its idempotency key
+    JOIN = 9  # answer with the result of the earlier RPC of the same idempotency key
+    HEALTH = 10  # report to the balancer whether the instance is healthy, `flag`
+    SAY = 11  # put the load signal `value` on answers
+    TIMER = 12  # call tick() after `duration`
+    IDLE = 13  # close connections that were idle for `duration`
 
 
 class Action(NamedTuple):
-    """`span` is an advice, a time-out, a life in the table, a timer or an idle limit, by what is done."""
+    """One action for the adapter; the comments of ActionKind tell which fields each kind uses.
+
+    Attributes:
+        rpc: The RPC it concerns; None for actions of the whole instance.
+        duration: A time span, microseconds.
+    """
 
     do: Do
     rpc: Rpc | None = None
