--- a/hollystage/__init__.py
+++ b/hollystage/__init__.py
@@ -1,3 +1,3 @@
-"""hollystage: admission and scheduling inside servers that stand behind other people's balancers."""
+"""Admission control and request scheduling for servers behind load balancers that they do not control."""
 
 __version__ = "0.2.0"
--- a/hollystage/decisions/__init__.py
+++ b/hollystage/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""What subsystems decide, one folder a matter: no I/O, no thread, no clock. Times are handed in, in microseconds."""
+"""Decision logic, one package a subsystem. No I/O, threads or clock: callers pass the time in microseconds."""
