--- a/hollystage/policy/buckets.py
+++ b/hollystage/policy/buckets.py
@@ -1,52 +1,82 @@
-"""The figures that the mechanism goes by, sums that forget, and a client's nested token buckets."""
+"""Constants of the scheduling policy, decaying sums, and the nested token buckets of a client.
+
+Times are microseconds unless a comment says otherwise. The terms rho, sigma, delta, finish tag and class
+level are those of the paper that describes the cascade of token buckets (see docs/design.md).
+"""
 from __future__ import annotations
 
 from math import exp
 
 from ..interface import Method, Outcome, Rpc, Tenant
 
-TICK = 50_000  # spacing of the one timer; due answers leave up to one tick early
-SPAN, RECENT = 4_000_000, 1_000_000  # of arrivals and costs; of unread times and pushbacks
-BUCKETS, FEWEST = 2, 4.0  # n of the cascade; tokens that a bucket holds at least
-WIDER, TAIL = 1.25, 1.5  # an outer bucket's rate over the next inner; the tail's delta over the outermost
-GENEROUS, FORGET = 20.0, 0.3  # RPCs a second and core while nothing is measured; weight of such a run later
-HIGH, LOW = 0.95, 0.85  # marks of the core gauge for pushbacks of the outermost class
-HEADROOM, FULL = 0.8, 0.85  # shares: of the deadly crowd that may run, of memory for what is held and keys
-SLOW, LATE = 3.0, 30_000  # a call so many times slower is one; a timer so late means that we were stalled
-ODD, SILENT = 0.4, 30.0  # share of slow or lost replies that is no trouble below; usual calls waited for one
-CHOOSY, HANG = 1.3, 4.0  # usual costs that must fit before the target where much bounces; that mean a hang
-UNREAD, BLIND = 0.05, 0.15  # reading costs: share of a target that RPCs lie unread, of the cores it takes
-BOUNCED, FLOOD = 0.25, 0.7  # shares of what is read pushed back: little use elsewhere; callers flood the box
-BINS, COMMON, STAY = 50, 0.125, 0.998  # steps of patiences; share that tells a first try's; share kept a try
-
+TICK = 50_000  # period of tick(); an RPC that falls due before the next tick is answered at this one
+# decay spans: of arrival rates and costs; of unread times and rejections
+SPAN, RECENT = 4_000_000, 1_000_000
+BUCKETS, FEWEST = 2, 4.0  # nested buckets of a client; minimum capacity of one, tokens
+# rate of a bucket over that of the next inner one; delta of the tail class over that of the outermost bucket
+WIDER, TAIL = 1.25, 1.5
+# completions a second and core that are assumed before any is measured; weight of one such run in later means
+GENEROUS, FORGET = 20.0, 0.3
+# CPU gauge: rejection of the outermost class begins at the first and ends below the second
+HIGH, LOW = 0.95, 0.85
+# shares that may be used: of the number of started RPCs at which throughput collapses; of the memory, by RPCs
+# and idempotency keys
+HEADROOM, FULL = 0.8, 0.85
+# a call is slow at this multiple of the usual time; a tick this late means that the process was suspended
+SLOW, LATE = 3.0, 30_000
+# share of slow or lost replies up to which the dependency counts as healthy; multiple of the usual time after
+# which a call that may be repeated counts as lost
+ODD, SILENT = 0.4, 30.0
+# multiple of the usual cost that must fit before the target while many RPCs are rejected; multiple of the
+# highest usual cost that the cores may go without progress before they count as hung
+CHOOSY, HANG = 1.3, 4.0
+# reading is expensive where RPCs lie unread for this share of a target, or where it uses this share of cores
+UNREAD, BLIND = 0.05, 0.15
+# share of the read RPCs that is rejected: above the first a retry elsewhere has little chance, above the
+# second callers send far more than the instance can take
+BOUNCED, FLOOD = 0.25, 0.7
+# histogram of caller timeouts: bins over a method's deadline; share that a bin and the next one must hold to
+# count as a timeout of first attempts; factor by which counts decay at each first attempt
+BINS, COMMON, STAY = 50, 0.125, 0.998
+
+# events that resume the lifecycle of an RPC, beside the outcomes of runs and calls
 START, DROP, OVERDUE, GONE, AT_CALL, GO, SKIP = "start drop overdue gone at_call go skip".split()
+# outcomes that prove that a call was not executed; outcomes after which it may have been
 UNSEEN, LOST = (Outcome.FULL, Outcome.CONNECT_FAILED), (Outcome.TIMEOUT, Outcome.RESET)
+# states of an RPC; the strings appear in logs
 HELD, RUNNING, CALLING, WAITING, JOINED, OVER = "held running calling waiting joined over".split()
 
-Line = list[tuple[int, int, Rpc]]  # a heap by time
+Line = list[tuple[int, int, Rpc]]  # a heap of (time or finish tag, sequence number, RPC)
 
 
 class Decaying:
-    """A sum and a count that forget over `span`, brought up to date when they are read."""
+    """A sum and a count that decay exponentially with the time constant `span`, updated lazily on access."""
 
     def __init__(self, now: int, span: int = SPAN) -> None:
         self.sum, self.count, self.at, self.span = 0.0, 0.0, now, span
 
     def read(self, now: int) -> float:
+        """The decayed sum."""
         if now > self.at:
-            left = exp((self.at - now) / self.span)
-            self.sum, self.count, self.at = self.sum * left, self.count * left, now
+            kept = exp((self.at - now) / self.span)
+            self.sum, self.count, self.at = self.sum * kept, self.count * kept, now
         return self.sum
 
     def add(self, amount: float, now: int, count: float = 1) -> None:
+        """Adds `amount` to the sum and `count` to the count."""
         self.sum, self.count = self.read(now) + amount, self.count + count
 
     def mean(self, now: int, prior: float = 0.0, weight: float = 1e-9) -> float:
+        """The mean, with `prior` mixed in at the weight of `weight` samples."""
         return (self.read(now) + prior * weight) / (self.count + weight)
 
 
 class Client:
-    """One client's nested token buckets; a client is a method, of one tenant where tenants are told."""
+    """Nested token buckets of one client: a method, for one tenant if tenants are configured.
+
+    `rho` is the client's rate in RPCs a second; bucket j has the rate rho * RATE_GROWTH ** j. The deltas are
+    the delay bounds of the class levels: from the latency target to the deadline, then a longer one.
+    """
 
     def __init__(self, tenant: Tenant | None, method: Method, rho: float, now: int) -> None:
         self.tenant, self.method, self.rho, self.at = tenant, method, rho, now
@@ -57,14 +87,18 @@
         self.tokens = [self.sigma(j) for j in range(BUCKETS)]
 
     def sigma(self, j: int) -> float:
+        """Capacity of bucket j, tokens."""
         return max(FEWEST, self.rho * WIDER ** j * self.deltas[j] / 1e6)
 
     def classify(self, now: int) -> int:
-        """The latency class from 1 to BUCKETS + 1, the tail; takes a token from its bucket and outer ones."""
+        """Class level of an arriving RPC: the innermost bucket with a token, BUCKETS + 1 for the tail.
+
+        Takes a token from that bucket and from all outer ones.
+        """
         level = BUCKETS
         for j in reversed(range(BUCKETS)):
-            grown = self.tokens[j] + self.rho * WIDER ** j * (now - self.at) / 1e6
-            self.tokens[j] = min(self.sigma(j), grown)
+            refilled = self.tokens[j] + self.rho * WIDER ** j * (now - self.at) / 1e6
+            self.tokens[j] = min(self.sigma(j), refilled)
             if level == j + 1 and self.tokens[j] >= 1:
                 level = j
         self.at = now
--- a/hollystage/policy/lines.py
+++ b/hollystage/policy/lines.py
@@ -1,4 +1,4 @@
-"""What the module holds, the lines that RPCs stand in, and how one is moved along."""
+"""State of the decision module, its queues, and the transitions of an RPC between states."""
 from __future__ import annotations
 
 from heapq import heappop, heappush
@@ -12,22 +12,27 @@
 from ..interface import Action, Method, Rpc, Settings, Tenant
 from .buckets import *
 
-LEAST, MOST = 0.1, 0.9  # bounds of that window, as shares of what this server may have in hand below
-BOOKS = {RUNNING: CORES, WAITING: WAITS, CALLING: CALLS}  # places that pools keep books of
+# default bounds of the call limit, as shares of the concurrent calls that this instance may make
+LEAST, MOST = 0.1, 0.9
+BOOKS = {RUNNING: CORES, WAITING: WAITS, CALLING: CALLS}  # states in which an RPC takes a place of its pool
 
 
 class Lines:
+    """State of the decision module and its basic operations on queues and states."""
+
     def __init__(self, settings: Settings, now: int) -> None:
         self.set, self.born, self.now = settings, now, now
         self.out: list[Action] = []
         self.dues: Line = []
-        self.keys: Line = []
+        self.key_expiries: Line = []
         self.numbers = {method: number for number, method in enumerate(settings.methods)}
         self.pools: Pools | None = None
         self.calendar = Calendar(settings.longest_advice) if settings.promises else None
-        self.room_elsewhere = False  # as far as peers tell
-        self.holds: list[Line] = [[]]  # a line for each pool, and behind them the cheapest of all once more
-        self.waits: list[Line] = [[]]  # for a call
+        self.room_elsewhere = False  # whether peers report spare capacity
+        # queues for the cores and for downstream calls: one for each pool, then one more with the cheapest
+        # work of all pools, which is also in the queue of its pool
+        self.holds: list[Line] = [[]]
+        self.waits: list[Line] = [[]]
         self.kept: set[Rpc] = set()
         self.places = dict.fromkeys((HELD, RUNNING, CALLING, WAITING, JOINED, OVER), 0)
         self.memory = self.extra = self.busy = self.usual_call = 0.0
@@ -42,75 +47,83 @@
             Decaying(now, RECENT) for _ in range(5))
         targets = [m.latency_target for m in settings.methods]
         self.shortest, self.longest = min(targets), max(targets)
-        least = min(m.criticality for m in settings.methods)
-        self.rank = {m: (least / m.criticality) ** 0.5 if m.criticality else 1.0 for m in settings.methods}
+        lowest = min(m.criticality for m in settings.methods)
+        self.rank = {m: (lowest / m.criticality) ** 0.5 if m.criticality else 1.0 for m in settings.methods}
         self.progress = self.planned = self.freed = self.cut_at = self.next_call = now
-        self.stop = self.closing = self.count = 0
-        self.open, self.said = 0.3 if settings.cold else 1.0, -1.0
-        # a tier of servers below guards itself and tells no share: calls are bounded by our own crowd
-        crowd = settings.cores * settings.fall_multiple
-        share, given = crowd if settings.tier_below else max(0.01, settings.calls_out), settings.below
-        most = given.most or share * MOST
-        least = min(most, given.least or share * LEAST)
-        self.below = limit_of(given.policy, min(most, share / 2), least, most, now)
+        self.stop = self.closing = self.sequence = 0
+        self.admit_level, self.said = 0.3 if settings.cold else 1.0, -1.0
+        # a tier of servers limits its own load and announces no share: the number of calls is bounded by the
+        # number of RPCs that this instance may start
+        concurrency = settings.cores * settings.fall_multiple
+        share, config = concurrency if settings.tier_below else max(0.01, settings.calls_out), settings.below
+        max_limit = config.most or share * MOST
+        min_limit = min(max_limit, config.least or share * LEAST)
+        self.below = limit_of(config.policy, min(max_limit, share / 2), min_limit, max_limit, now)
         self.stalls = Stalls(LATE)
-        self.pace = Decaying(now)  # time on the cores over the hints of the RPCs that took it
+        self.pace = Decaying(now)  # time on the cores for each microsecond of hinted work
         self.lingering: list[int] = []
         self.pacer = Pacer(now, 0.0, settings.calls_over)
 
-    def _move(self, rpc: Rpc, place: str) -> None:
+    def _move(self, rpc: Rpc, state: str) -> None:
+        """Changes the state of an RPC and the counts, the memory and the pools' places that depend on it."""
         if rpc.place in (WAITING, CALLING):
             rpc.off_cores += self.now - rpc.since
-        if rpc.place == CALLING and place == OVER:
+        if rpc.place == CALLING and state == OVER:
             heappush(self.lingering, self.now + self.set.linger)
-        for old, sign in ((rpc.place, -1), (place, 1)):
-            if old:
-                self.places[old] += sign
-                weight = self.set.run_factor if old in (RUNNING, CALLING, WAITING) else old != OVER
+        for changed, sign in ((rpc.place, -1), (state, 1)):
+            if changed:
+                self.places[changed] += sign
+                weight = self.set.run_factor if changed in (RUNNING, CALLING, WAITING) else changed != OVER
                 self.memory += sign * weight * rpc.size
         if self.pools is not None:
-            self.pools.moved(rpc, BOOKS.get(rpc.place, OUT), BOOKS.get(place, OUT), self.now)
-        rpc.place, rpc.since = place, self.now
+            self.pools.moved(rpc, BOOKS.get(rpc.place, OUT), BOOKS.get(state, OUT), self.now)
+        rpc.place, rpc.since = state, self.now
+
+    def _line_up(self, queue: Line, at: int, rpc: Rpc) -> None:
+        """Puts an RPC on a heap; equal keys keep their order of arrival."""
+        self.sequence += 1
+        heappush(queue, (at, self.sequence, rpc))
 
-    def _line_up(self, line: Line, at: int, rpc: Rpc) -> None:
-        self.count += 1
-        heappush(line, (at, self.count, rpc))
+    def _resume(self, rpc: Rpc, event: Any) -> None:
+        """Sends `event` to the lifecycle of the RPC and runs it until it waits for the next event.
 
-    def _resume(self, rpc: Rpc, word: Any) -> None:
-        """Lets the RPC go on with `word` until it waits again; words for what is over are dropped."""
+        Events for an RPC that is over are ignored.
+        """
         if rpc.life is None:
             return
         try:
             while True:
-                action = rpc.life.send(word)
+                action = rpc.life.send(event)
                 if action is None:
                     return
                 self.out.append(action)
                 if rpc.place in (RUNNING, CALLING, WAITING, JOINED):
                     return
-                word = None
+                event = None
         except StopIteration:
             rpc.life, rpc.answered, rpc.earlier = None, True, None
             self._move(rpc, OVER)
 
-    def _head(self, line: Line, place: str) -> int | None:
-        while line and (line[0][2].place != place or line[0][2].answered):
-            heappop(line)
-        return line[0][0] if line else None
+    def _head(self, queue: Line, state: str) -> int | None:
+        """Smallest finish tag of the queue, after removing RPCs that are answered or no longer in `state`."""
+        while queue and (queue[0][2].place != state or queue[0][2].answered):
+            heappop(queue)
+        return queue[0][0] if queue else None
 
-    def _next(self, lines: list[Line], place: str, limit: float, taken: int) -> Line | None:
-        """The line whose first may go on, if any may."""
-        heads = [self._head(line, place) for line in lines]
+    def _next(self, queues: list[Line], state: str, limit: float, taken: int) -> Line | None:
+        """The queue whose first RPC may go on, or None. `taken` places of `limit` are in use."""
+        heads = [self._head(queue, state) for queue in queues]
         if self.pools is None:
-            return lines[0] if heads[0] is not None and taken + 1 <= limit else None
-        at = (self.pools.start if place == HELD else self.pools.call)(limit, heads, taken, self.now)
-        if at == NOWHERE:
+            return queues[0] if heads[0] is not None and taken + 1 <= limit else None
+        chosen = (self.pools.start if state == HELD else self.pools.call)(limit, heads, taken, self.now)
+        if chosen == NOWHERE:
             return None
-        lines[at][0][2].spare = at == self.pools.count
-        return lines[at]
+        queues[chosen][0][2].spare = chosen == self.pools.count
+        return queues[chosen]
 
-    def _queue(self, lines: list[Line], rpc: Rpc) -> None:
+    def _queue(self, queues: list[Line], rpc: Rpc) -> None:
+        """Puts an RPC into the queue of its pool and, if its method is cheap, also into the last queue."""
         number = rpc.seat.find() if rpc.seat is not None and self.pools is not None else 0
-        self._line_up(lines[number], rpc.tag, rpc)
+        self._line_up(queues[number], rpc.tag, rpc)
         if self.pools is not None and self.pools.is_cheap(self.numbers[rpc.method]):
-            self._line_up(lines[-1], rpc.tag, rpc)
+            self._line_up(queues[-1], rpc.tag, rpc)
