--- a/hollystage/interface.py
+++ b/hollystage/interface.py
@@ -193,7 +193,7 @@
         pooling: The pools; None for a single queue.
         call_limit: The limit on concurrent downstream calls.
         criticality_per_work: Whether criticality is counted for each unit of work instead of for each RPC.
-        promises: Whether an advice when to retry reserves a place for that time.
+        promises: Whether an advice when to retry reserves capacity for that time.
         downstream_tier: Whether calls go to a tier of servers that limit their own load instead of to a shared
             dependency.
     """
@@ -251,7 +251,7 @@
         state_since: Time of the last change of state.
         off_core_time: Time since its start that it was waiting for a call or calling, microseconds.
         pool_ref: Its pool, if pools are configured.
-        uses_reserve: Whether its present place on the cores or at a call belongs to the reserve.
+        uses_reserve: Whether its present slot on the cores or at a call belongs to the reserve.
         calls_made: Number of downstream calls.
         promised: Whether its caller was advised to retry at this time.
         lifecycle: Generator that carries it through its states; None once it is over.
--- a/hollystage/policy/lines.py
+++ b/hollystage/policy/lines.py
@@ -14,7 +14,7 @@
 
 # default bounds of the call limit, as shares of the concurrent calls that this instance may make
 LEAST, MOST = 0.1, 0.9
-BOOKS = {RUNNING: CORES, WAITING: WAITS, CALLING: CALLS}  # states in which an RPC takes a place of its pool
+BOOKS = {RUNNING: CORES, WAITING: WAITS, CALLING: CALLS}  # states in which an RPC takes a slot of its pool
 
 
 class Lines:
@@ -65,7 +65,7 @@
         self.pacer = Pacer(now, 0.0, settings.calls_over)
 
     def _move(self, rpc: Rpc, state: str) -> None:
-        """Changes the state of an RPC and the counts, the memory and the pools' places that depend on it."""
+        """Changes the state of an RPC and the counts, memory and pool slots that depend on it."""
         if rpc.place in (WAITING, CALLING):
             rpc.off_cores += self.now - rpc.since
         if rpc.place == CALLING and state == OVER:
@@ -111,7 +111,7 @@
         return queue[0][0] if queue else None
 
     def _next(self, queues: list[Line], state: str, limit: float, taken: int) -> Line | None:
-        """The queue whose first RPC may go on, or None. `taken` places of `limit` are in use."""
+        """The queue whose first RPC may go on, or None. `taken` slots of `limit` are in use."""
         heads = [self._head(queue, state) for queue in queues]
         if self.pools is None:
             return queues[0] if heads[0] is not None and taken + 1 <= limit else None
