--- a/hollystage/policy/measures.py
+++ b/hollystage/policy/measures.py
@@ -60,7 +60,7 @@
         If the whole fleet is overloaded, callers must not retry elsewhere, or every server reads the same
         RPCs again and again. If one server alone is (popular subjects, a slow core), they should. If callers
         neither mark retries nor send their timeout, the two cases look alike: then only a part of the
-        rejected RPCs goes elsewhere, too few to overload other servers further, enough to relieve a single one.
+        rejected RPCs goes elsewhere, too few to overload others further, enough to relieve a single server.
         """
         peers_overloaded = self.passed.mean(self.now) > PASSED or self.sent_on.mean(self.now) > BOUNCED
         return self._bouncing(BOUNCED) and peers_overloaded and not self.room_elsewhere
