--- a/hollystage/control.py
+++ b/hollystage/control.py
@@ -71,7 +71,7 @@
         # class spacing: the more critical a method, the smaller the finish tags of its first class
         rpc.tag = read_at + int(client.deltas[rpc.level - 1] * (self.rank[method] if rpc.level == 1 else 1))
         if rpc.promised:
-            rpc.tag = read_at + (rpc.tag - read_at) // 4  # capacity was reserved: before others of its method
+            rpc.tag = read_at + (rpc.tag - read_at) // 4  # capacity was reserved: ahead of others of its class
         self._line_up(self.dues, rpc.due, rpc)
         rpc.seat = self.pools.seat(self.numbers[method]) if self.pools is not None else None
         rpc.life = self._life(rpc)
@@ -192,9 +192,9 @@
         elif self.now - self.progress > max(self.longest, HANG * max(map(self._cost, self.runs))) and (
                 self.now - self.progress > HANG / 2 * max((self._work(r) for _, _, r in self.dues
                                                            if r.hint and r.place == RUNNING), default=0.0)):
-            # cores that take work and finish none count as hung; does harm where single RPCs run this long (at
-            # least the longest target, since on small or cold machines one long run, or a cost that is not
-            # learned yet, looks like a hang)
+            # cores that take work and finish none count as hung; does harm where single RPCs run this long
+            # (at least the longest target, since on small or cold machines one long run, or a cost that is
+            # not learned yet, looks like a hang)
             self.stuck = True
             for _, _, rpc in list(self.dues):
                 may_repeat = rpc.place == RUNNING and rpc.method.kind is Kind.IDEMPOTENT
@@ -208,7 +208,7 @@
             self.out.append(Action(Do.HEALTH, flag=self.healthy))
 
     def _sweep(self) -> None:
-        """Ends overdue RPCs and queued ones that miss their target, and skips calls that would be too late."""
+        """Ends overdue RPCs and queued ones that miss their target; skips calls that would be too late."""
         while self.dues and self.dues[0][0] <= self.now + TICK:
             rpc = heappop(self.dues)[2]
             if not rpc.answered and rpc.place != OVER:
@@ -232,7 +232,7 @@
             within = min(1.0, quota / arrivals[client.tenant]) if quota and arrivals[client.tenant] else 1.0
             # RPCs beyond a tenant's quota cannot be told from the others: each counts with the mean value
             value = client.method.criticality * (within + (1 - within) * self.set.over_share)
-            value *= cost if self.set.by_work else 1  # then the value of core time does not depend on the cost
+            value *= cost if self.set.by_work else 1  # value of core time independent of the cost
             # twice the rate, since the rate of a few RPCs a second is a noisy sample
             needs.append((client, 2 * rate * cost + 0.01, value / cost, cost))
         rates = dict.fromkeys(self.clients.values(), 0.0)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -7,21 +7,21 @@
 from hollystage.settings import Faulty, read, translate
 
 
-@pytest.mark.parametrize("below, calls_out, fault", [
+@pytest.mark.parametrize("depends_on, calls_out, error", [
     ("tier", 3.0, r"CallsOut.*\$\.Domain"), ("none", 1.0, r"CallsOut.*\$\.Domain"),
     ("tier", 0.0, ""), ("shared", 3.0, "")])
-def test_settings_that_mix_a_shared_dependency_with_a_tier_below_are_refused(below, calls_out, fault):
-    given = {"Domain": {"Cores": 2, "RamKb": 1e4, "RunFactor": 4, "DependsOn": below, "CallsOut": calls_out},
+def test_rejects_a_share_of_calls_without_a_shared_dependency(depends_on, calls_out, error):
+    settings = {"Domain": {"Cores": 2, "RamKb": 1e4, "RunFactor": 4, "DependsOn": depends_on, "CallsOut": calls_out},
              "Rules": {"FallMultiple": 8, "StopSendingWithinUs": 0},
              "Profiles": [{"Repeat": "once", "Value": 1, "PromiseUs": 1, "GiveUpUs": 2}]}
-    if fault:
-        with pytest.raises(Faulty, match=fault):
-            translate(read(json.dumps(given).encode()))
+    if error:
+        with pytest.raises(Faulty, match=error):
+            translate(read(json.dumps(settings).encode()))
     else:
-        assert translate(read(json.dumps(given).encode())).tier_below is (below == "tier")
+        assert translate(read(json.dumps(settings).encode())).tier_below is (depends_on == "tier")
 
 
-def test_a_configuration_of_mixed_shape_is_refused_at_the_start_naming_the_key():
+def test_configuration_error_names_the_key_of_the_invalid_setting():
     config = {"name": "n3", "listen": "127.0.0.1:7001", "vm": "127.0.0.1:7002", "ledger": "127.0.0.1:7003",
               "control": "127.0.0.1:7004"}
     config["settings"] = SETTINGS | {"Domain": SETTINGS["Domain"] | {"DependsOn": "tier"}}
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""Where no pool is configured the module decides as it did before there were any: action by action, byte for byte."""
+"""Without pools the decision module takes the recorded decisions: the hash of all actions of a scene is compared."""
 import json
 import pathlib
 
@@ -13,17 +13,17 @@
            "wide": {"load": 2.5, "say": Say.SHARE}}
 
 
-def trace(trouble, change):
-    return Scene(trouble, 7, **{"seconds": 24} | CHANGES[change]).run().trace.hexdigest()
+def trace(scenario, change):
+    return Scene(scenario, 7, **{"seconds": 24} | CHANGES[change]).run().trace.hexdigest()
 
 
 @pytest.mark.parametrize("name", RECORDED)
-def test_the_actions_are_those_recorded(name):
-    trouble, change = name.split("/")
-    assert trace(trouble, change) == RECORDED[name]
+def test_actions_match_the_recorded_trace(name):
+    scenario, change = name.split("/")
+    assert trace(scenario, change) == RECORDED[name]
 
 
-def test_a_scene_differs_by_its_seed_and_not_by_the_run():
+def test_trace_depends_on_the_seed_and_not_on_the_run():
     assert trace("slow", "plain") == trace("slow", "plain")
     one, other = (Scene("slow", seed, seconds=20).run().trace.hexdigest() for seed in (7, 8))
     assert one != other
