--- a/hollystage/decisions/calls/__init__.py
+++ b/hollystage/decisions/calls/__init__.py
@@ -1,1 +1,1 @@
-"""Calls below: their limits, the pools that make them, further tries."""
+"""Downstream calls: concurrency limits, pacing, the pools that share the slots, and retry budgets."""
--- a/hollystage/decisions/calls/further.py
+++ b/hollystage/decisions/calls/further.py
@@ -1,7 +1,8 @@
-"""How many further tries there may be: a share of first tries, counted over a decaying span, with a floor.
+"""Retry budget: retries are limited to a share of first attempts, plus a minimum rate.
 
-A try that is not marked as a further one earns the share; a further one costs one. Under a steady load the
-further tries are at most the share of the first, however many fail; the floor lets a quiet pool try at all.
+Each first attempt adds a fraction of a credit and each retry costs one credit. Under steady load retries are
+therefore at most this fraction of first attempts, however many attempts fail. The minimum rate allows retries in a
+pool with little traffic.
 """
 from __future__ import annotations
 
@@ -9,7 +10,10 @@
 
 
 class Budget:
-    """`share` of first tries, and `floor` a second; what is earned decays over `span` microseconds.
+    """Credits for retries.
+
+    A first attempt adds `ratio` credits and each second adds `min_rate` credits. Credits decay exponentially with the
+    time constant `decay_time`. All times are in microseconds.
 
     >>> budget = Budget(0.1, 0.0, 10_000_000)
     >>> for _ in range(20):
@@ -27,17 +31,18 @@
 
     def _pass(self, now: int) -> None:
         if now > self.at:
-            left = exp((self.at - now) / self.span)
-            # the floor's own steady state: what comes in over a span is what is kept of it
-            self.earned = self.earned * left + self.floor * self.span / 1e6 * (1 - left)
+            decay = exp((self.at - now) / self.span)
+            # converges to the steady state of the minimum rate: the credits added during one decay time
+            self.earned = self.earned * decay + self.floor * self.span / 1e6 * (1 - decay)
             self.at = now
 
     def first(self, now: int) -> None:
+        """Adds the credit of a first attempt."""
         self._pass(now)
         self.earned += self.share
 
     def take(self, now: int) -> bool:
-        """Whether one further try may be made now; it is paid for if so."""
+        """Returns whether a retry is allowed now, and if so takes one credit."""
         self._pass(now)
         if self.earned < 1:
             self.refused += 1
--- a/hollystage/decisions/calls/limits.py
+++ b/hollystage/decisions/calls/limits.py
@@ -1,13 +1,13 @@
-"""How many may be at calls to one ledger, or to one pool's share of it, at once: limits that adapt.
+"""Adaptive limits on the number of concurrent calls to one ledger, or of one pool's calls to it.
 
-Each learns from how calls ended and from nothing else. They are compared in docs/notes/class-pools.md:
+Each limit adapts to the results of calls only. docs/notes/class-pools.md compares the policies:
 
-- `Window`, the house's: grows by one a round, is cut by a share at a sign of trouble.
-- `Aimd`: the same with gentler cuts, and without growth while it is not used.
-- `Gradient`: by the usual time of a call over what calls take now.
-- `Queue`: by how many calls seem to wait below, like Vegas.
-- `Delivery`: what the ledger delivers at its best, times what a call takes at its least, and a little more.
-- `Fixed`: never moves; what the others are measured against.
+- `WindowLimit`, the default: grows by one per round trip, decreases by a factor on a congestion signal.
+- `AimdLimit`: additive increase and multiplicative decrease, with smaller decreases and no growth while unused.
+- `GradientLimit`: follows the ratio of the minimum latency to the current latency.
+- `QueueLimit`: follows the estimated number of calls queued downstream, like TCP Vegas.
+- `DeliveryLimit`: the best delivery rate times the minimum latency, plus an allowance for probing.
+- `FixedLimit`: never changes; the baseline in comparisons.
 """
 from __future__ import annotations
 
@@ -17,50 +17,50 @@
 
 from ...interface import Outcome
 
-UNPROVEN = (Outcome.TIMEOUT, Outcome.RESET)  # the reply was lost, which may be a single one's fate
+UNPROVEN = (Outcome.TIMEOUT, Outcome.RESET)  # a single lost reply does not prove that the ledger is overloaded
 REFUSED = (Outcome.FULL, Outcome.CONNECT_FAILED)
 
 
 @dataclass(slots=True, frozen=True)
 class Ended:
-    """How one call ended. `open`: calls under way, this one among them; `usual`: what one takes when all is well.
-
-    `odd`: slow or lost, while so few are that it tells nothing of the ledger.
-    """
+    """Result of one call; times in microseconds."""
 
     outcome: Outcome
     spent: int
-    open: int
-    usual: float
-    odd: bool
-    bad: bool
+    open: int  # calls in flight, including this one
+    usual: float  # of a call to a healthy ledger
+    odd: bool  # the reply was slow or lost; a single one says nothing about the ledger
+    bad: bool  # a refusal, a failure, or a slow or lost reply among many
     now: int
 
 
 class Limit(Protocol):
+    """A limit on concurrent calls; `value` need not be a whole number."""
+
     value: float
 
     def ended(self, call: Ended) -> None:
-        """Learns from one call."""
+        """Adapts the limit to the result of one call."""
 
-    def bound(self, least: float, most: float) -> None:
-        """Keeps within new bounds, at once."""
+    def bound(self, min_value: float, max_value: float) -> None:
+        """Sets new bounds; the value is clamped to them immediately."""
 
     def stalled(self, now: int) -> None:
-        """What ends just now ends late by our own fault: nothing is to be learned of it."""
+        """Reports that this process was suspended until `now`: calls that started earlier ended late for that reason,
+        so their results are ignored."""
 
 
 class Bounded:
-    """A value between two bounds, and the time before which nothing is learned."""
+    """Base of the limits: a value between two bounds. Results of calls that started before a stall are ignored."""
 
-    def __init__(self, start: float, least: float, most: float, now: int = 0) -> None:
+    def __init__(self, start: float, min_value: float, max_value: float, now: int = 0) -> None:
         self.cut_at = now
-        self.least, self.most = max(0.001, least), max(0.001, least, most)
+        self.least, self.most = max(0.001, min_value), max(0.001, min_value, max_value)
         self.value = max(self.least, min(start, self.most))
         self.blind_until = 0
 
-    def bound(self, least: float, most: float) -> None:
-        self.least, self.most = max(0.001, least), max(0.001, least, most)
+    def bound(self, min_value: float, max_value: float) -> None:
+        self.least, self.most = max(0.001, min_value), max(0.001, min_value, max_value)
         self._set(self.value)
 
     def stalled(self, now: int) -> None:
@@ -71,15 +71,18 @@
 
 
 class Fixed(Bounded):
+    """A constant limit."""
+
     def ended(self, call: Ended) -> None:
         pass
 
 
 class Window(Bounded):
-    """Grows by one a round of good replies; keeps `CUT` of itself at a sign of trouble, once in a usual call.
+    """Grows by one per round trip of good replies; multiplied by `DECREASE_FACTOR` on a congestion signal, at most
+    once per typical call duration.
 
-    A sign is a refusal or failure, or a slow or lost reply among many. Its growth does not ask whether it was used:
-    on the users' platform a window that is idle costs nothing, and a burst finds it open.
+    A refusal, a failure, or a slow or lost reply among many is a congestion signal. The limit also grows while it is
+    not fully used: on the users' platform an unused limit costs nothing, and a burst can use it immediately.
     """
 
     CUT = 0.7
@@ -93,22 +96,22 @@
 
 
 class Aimd(Bounded):
-    """Additive increase while it is used, multiplicative decrease once a round trip.
+    """Additive increase while the limit is used, multiplicative decrease once per round trip (AIMD).
 
-    After a cut it grows only as fast as calls end: what a slow ledger takes longest to answer tells it latest.
+    After a decrease it grows only as fast as calls end, so a slow ledger makes it grow slowly.
     """
 
-    KEPT, USED = 0.85, 0.5  # share kept at a cut; of the limit that must be open for a good reply to count
+    KEPT, USED = 0.85, 0.5  # the latter: share of the limit that must be in flight for an increase
 
-    def __init__(self, start: float, least: float, most: float, now: int = 0) -> None:
-        super().__init__(start, least, most, now)
-        self.first = True  # no trouble yet: doubles a round, so that a cold start does not creep
+    def __init__(self, start: float, min_value: float, max_value: float, now: int = 0) -> None:
+        super().__init__(start, min_value, max_value, now)
+        self.first = True  # until the first decrease the limit doubles each round trip, for a quick cold start
 
     def ended(self, call: Ended) -> None:
         if call.outcome is Outcome.CANCELLED or call.now - call.spent < self.blind_until:
             return
         if call.bad:
-            # calls that began before the last cut tell of the time before it
+            # a call that started before the last decrease reflects the load before it
             if call.now - call.spent > self.cut_at:
                 self._set(self.value * self.KEPT)
                 self.cut_at, self.first = call.now, False
@@ -117,7 +120,7 @@
 
 
 class Least:
-    """The least of a quantity over the last `span`, forgotten by halves: two runs of half the span.
+    """Approximate minimum of a quantity over the last `span`, from the minima of two half spans.
 
     >>> least = Least(100)
     >>> [least.add(value, now) for value, now in ((5, 0), (9, 40), (9, 60), (9, 120))]
@@ -130,6 +133,7 @@
         self.before: float = 0.0
 
     def add(self, value: float, now: int) -> float:
+        """Adds a value and returns the current minimum."""
         if not self.now:
             self.now = self.before = value
             self.turned = now
@@ -141,12 +145,15 @@
 
 
 class ByLatency(Bounded):
-    """What a call takes at its least of late, and what calls take now; keeps nine tenths at a sign of trouble."""
+    """Base of the limits that compare the minimum latency of the last 10 s with the current latency.
+
+    A congestion signal decreases the limit to nine tenths.
+    """
 
     SPAN = 10_000_000
 
-    def __init__(self, start: float, least: float, most: float, now: int = 0) -> None:
-        super().__init__(start, least, most, now)
+    def __init__(self, start: float, min_value: float, max_value: float, now: int = 0) -> None:
+        super().__init__(start, min_value, max_value, now)
         self.base = Least(self.SPAN)
         self.recent = 0.0
 
@@ -154,57 +161,59 @@
         if call.outcome is Outcome.CANCELLED or call.now - call.spent < self.blind_until:
             return
         if call.outcome is Outcome.OK:
-            base = max(self.base.add(call.spent, call.now), 1.0)
+            min_latency = max(self.base.add(call.spent, call.now), 1.0)
             self.recent += (call.spent - self.recent) * (0.1 if self.recent else 1)
-            # where it was never the bottleneck it must not grow
-            self._learn(base / max(self.recent, 1.0), call.open >= self.value / 2)
+            # a limit that is not the bottleneck must not grow
+            self._learn(min_latency / max(self.recent, 1.0), call.open >= self.value / 2)
         elif call.bad:
             self._set(self.value * 0.9)
 
-    def _learn(self, slope: float, used: bool) -> None:
-        """`slope`: the least over the present, up to 1."""
+    def _learn(self, gradient: float, is_used: bool) -> None:
+        """Adapts the limit. `gradient`: minimum latency divided by current latency, at most about 1; `is_used`: at
+        least half of the limit is in flight."""
         raise NotImplementedError
 
 
 class Gradient(ByLatency):
-    """The limit times (what a call takes at its least over what calls take now), and room for a short queue."""
+    """Scales the limit by the ratio of minimum to current latency, and adds its square root for a short queue."""
 
     TOLERANCE, MILD = 1.5, 0.2
 
-    def _learn(self, slope: float, used: bool) -> None:
-        if used:
-            aim = self.value * max(0.5, min(1.0, self.TOLERANCE * slope)) + self.value ** 0.5
-            self._set(self.value + (aim - self.value) * self.MILD / max(1.0, self.value))
+    def _learn(self, gradient: float, is_used: bool) -> None:
+        if is_used:
+            goal = self.value * max(0.5, min(1.0, self.TOLERANCE * gradient)) + self.value ** 0.5
+            self._set(self.value + (goal - self.value) * self.MILD / max(1.0, self.value))
 
 
 class Queue(ByLatency):
-    """Keeps the number of calls that seem to wait below between two marks."""
+    """Keeps the estimated number of calls queued downstream between `MIN_QUEUED` and `MAX_QUEUED`, like TCP Vegas."""
 
     FEW, MANY = 2.0, 5.0
 
-    def _learn(self, slope: float, used: bool) -> None:
-        waiting, step = self.value * (1 - slope), 1 / max(1.0, self.value)
-        if waiting > self.MANY:
+    def _learn(self, gradient: float, is_used: bool) -> None:
+        queued, step = self.value * (1 - gradient), 1 / max(1.0, self.value)
+        if queued > self.MANY:
             self._set(self.value - step)
-        elif waiting < self.FEW and used:
+        elif queued < self.FEW and is_used:
             self._set(self.value + step)
 
 
 class Delivery(Bounded):
-    """The best rate of good replies of late, times the least that a call takes of late, and some more to probe.
+    """The best recent rate of good replies times the minimum recent latency, plus an allowance for probing.
 
-    A ledger whose every call takes longer delivers less, and its calls overlap more: both cancel out, so the limit
-    stays where the ledger is just filled. One that has lost slots delivers less at the same least time: the limit
-    falls. The probe makes a better ledger show; what it adds is taken back where nothing more is delivered.
+    If every call of a ledger takes longer, its rate falls and its calls overlap more: the two effects cancel, and the
+    limit stays at the point that just fills the ledger. If the ledger lost slots, its rate falls while the minimum
+    latency stays, so the limit falls. Probing detects that the ledger has recovered; without a higher rate the limit
+    returns to its former value.
     """
 
     SPAN, BIN = 4_000_000, 250_000
     GAIN, SPARE = 1.3, 2.0
 
-    def __init__(self, start: float, least: float, most: float, now: int = 0) -> None:
-        super().__init__(start, least, most, now)
+    def __init__(self, start: float, min_value: float, max_value: float, now: int = 0) -> None:
+        super().__init__(start, min_value, max_value, now)
         self.base = Least(self.SPAN)
-        self.bins: deque[tuple[int, int]] = deque()  # a bin's number and its good replies
+        self.bins: deque[tuple[int, int]] = deque()  # number of a time bin, and its good replies
 
     def ended(self, call: Ended) -> None:
         if call.outcome is Outcome.CANCELLED or call.now - call.spent < self.blind_until:
@@ -214,30 +223,31 @@
                 self.cut_at = call.now
                 self._set(self.value * 0.8)
             return
-        base = self.base.add(call.spent, call.now)
-        at = call.now // self.BIN
-        if self.bins and self.bins[-1][0] == at:
-            self.bins[-1] = at, self.bins[-1][1] + 1
+        min_latency = self.base.add(call.spent, call.now)
+        current = call.now // self.BIN
+        if self.bins and self.bins[-1][0] == current:
+            self.bins[-1] = current, self.bins[-1][1] + 1
         else:
-            self.bins.append((at, 1))
-        while self.bins[0][0] < at - self.SPAN // self.BIN:
+            self.bins.append((current, 1))
+        while self.bins[0][0] < current - self.SPAN // self.BIN:
             self.bins.popleft()
-        # the present bin is not whole yet
-        best = max((count for number, count in self.bins if number != at), default=0)
-        aim = best / self.BIN * base * self.GAIN + self.SPARE
-        if aim > self.value and call.open < self.value / 2:
-            return  # it was never the bottleneck
-        self._set(self.value + (aim - self.value) * (0.05 if aim > self.value else 0.1))
+        # the current bin is not complete yet
+        best = max((count for number, count in self.bins if number != current), default=0)
+        goal = best / self.BIN * min_latency * self.GAIN + self.SPARE
+        if goal > self.value and call.open < self.value / 2:
+            return  # the limit is not the bottleneck
+        self._set(self.value + (goal - self.value) * (0.05 if goal > self.value else 0.1))
 
 
 POLICIES: dict[str, type[Bounded]] = {"window": Window, "aimd": Aimd, "gradient": Gradient, "queue": Queue,
                                       "delivery": Delivery, "fixed": Fixed}
 
 
-def limit_of(policy: str, start: float, least: float, most: float, now: int = 0) -> Limit:
-    """
+def limit_of(policy: str, start: float, min_value: float, max_value: float, now: int = 0) -> Limit:
+    """Creates a limit by the name of its policy.
+
     Raises:
-        KeyError: no policy is called so.
+        KeyError: no policy has this name.
     """
-    made: Limit = POLICIES[policy](start, least, most, now)  # type: ignore[assignment]
-    return made
+    limit: Limit = POLICIES[policy](start, min_value, max_value, now)  # type: ignore[assignment]
+    return limit
--- a/hollystage/decisions/calls/pacing.py
+++ b/hollystage/decisions/calls/pacing.py
@@ -1,20 +1,21 @@
-"""Fractions of a call: how a limit that is no whole number is kept in the mean, by one process and by many at once.
+"""Fractional concurrency limits: keeps the mean number of calls at a limit that is not a whole number.
 
-A limit of 2.3 allows two calls at any time, and a third for three tenths of the time. What the third has used beyond
-that is carried over as a debt in call-microseconds: it grows while the third is under way, falls by the fraction, and
-no further third begins before it is paid. Nothing is rounded up. No process has a first call free either: each starts
-with a debt that its seed draws, so that processes which start together do not all call in the same moment.
+A limit of 2.3 allows two calls at any time, and a third one for three tenths of the time. What the third call uses
+beyond that is a debt in call-microseconds: it grows while the third call is in flight and shrinks by the fraction of
+the limit, and no other third call starts before the debt is paid. Nothing is rounded up, so that the sum over many
+processes keeps to its limit too. The first call is not free either: each process starts with a debt drawn from its
+seed, so that processes that start together do not all call at the same moment.
 """
 from __future__ import annotations
 
 
 class Pacer:
-    """Tells how many calls may be under way now.
+    """Computes how many calls may be in flight now; times in microseconds.
 
     >>> pacer = Pacer(now=0, debt=0, over=1000)
     >>> pacer.allowed(0.25, now=0)
     1
-    >>> pacer.open = 1  # it begins, and ends after 100
+    >>> pacer.open = 1  # starts now and ends after 100 microseconds
     >>> pacer.allowed(0.25, now=100), pacer.debt
     (0, 75.0)
     >>> pacer.open = 0
@@ -24,12 +25,16 @@
 
     def __init__(self, now: int, debt: float, over: int) -> None:
         self.debt, self.since = debt, now
-        self.over = over  # the span whose mean is to keep to the limit
-        self.open = 0  # calls under way since then
-        self.limit = 0.0  # as it was last told
+        self.over = over  # the mean over this span must not exceed the limit
+        self.open = 0  # calls in flight since the last update
+        self.limit = 0.0  # at the last update
 
     def allowed(self, limit: float, now: int) -> int:
-        """To be asked at each change of the limit or of what is under way; `open` is to be set after the latter."""
+        """Returns the number of calls that may be in flight.
+
+        Must be called at each change of the limit or of the calls in flight; the caller sets `in_flight` after a
+        change of the latter.
+        """
         whole, elapsed = int(self.limit), now - self.since
         extra = max(0, self.open - whole)
         self.debt = max(0.0, self.debt + (extra - (self.limit - whole)) * elapsed)
@@ -38,6 +43,8 @@
 
     @property
     def longest(self) -> int:
-        """How long one call may take: all of the span where one is allowed at any time, else the limit's part of it.
-        A span holds no more than the length of one such call, for the rest after it fills what remains."""
+        """Longest duration of one call: the whole span if the limit is at least 1, else the limit's fraction of it.
+
+        A span contains no more call time than one such call, since the pause after it fills the rest of the span.
+        """
         return int(self.over * min(1.0, self.limit))
--- a/hollystage/decisions/comeback/__init__.py
+++ b/hollystage/decisions/comeback/__init__.py
@@ -1,1 +1,1 @@
-"""Coming back when most have died at once, or what was learned is lost."""
+"""Recovery after a restart: of one instance that lost its learned state, or of most of the fleet at once."""
--- a/hollystage/decisions/comeback/recovery.py
+++ b/hollystage/decisions/comeback/recovery.py
@@ -1,8 +1,8 @@
-"""What an instance learned, how it ages over a restart, and what may have run before it.
+"""Recovery of learned state after a restart, and detection of RPCs that an earlier process may have run.
 
-A belief that is old counts less, by the half-life of its kind, down to the prior of a cold start; one whose age
-cannot be told counts nothing. What was granted to an earlier boot is void. `KINDS` is the whole list;
-docs/notes/comeback.md says which test shows that a stale one of each does no harm.
+The weight of a stored value decreases with its age, by the half-life of its kind, until the prior of a cold start
+remains. A value of unknown age has no weight, and grants to an earlier boot are void. `BELIEF_KINDS` lists all kinds;
+docs/notes/comeback.md names the test for each that shows that a stale value does no harm.
 """
 from __future__ import annotations
 
@@ -18,71 +18,80 @@
 from ...interface import Method, Settings
 from ..membership.records import Belief, Record, Stage, View
 
-MOST_RUNS = 10.0  # runs that a stored cost counts for, at the most: what is measured here outweighs it at once
-LONGEST_US = 3.6e9  # no cost or call takes longer
-NOTHING = 0.02  # a weight under this is none
-MOST_MET = 8_192  # tokens remembered while there is doubt
-FUTURE_S = 5.0  # a snapshot so far ahead of the clock is of an unknown age
+MOST_RUNS = 10.0  # bounds the weight of a stored cost, so that new measurements soon outweigh it
+LONGEST_US = 3.6e9  # one hour; no cost or call takes longer
+NOTHING = 0.02  # a smaller weight counts as 0
+MOST_MET = 8_192
+FUTURE_S = 5.0  # a snapshot that is further ahead of the clock has an unknown age
 
 
 class Aging(NamedTuple):
-    """`half_life` in seconds, 0 for what is void after a start; `instead`: what takes its place."""
+    """How a kind of learned value ages.
+
+    `half_life` is in seconds; 0 for values that are void after a start. `fallback` describes what replaces the value.
+    """
 
     half_life: float
     instead: str
 
 
 KINDS: dict[str, Aging] = {
-    "costs": Aging(600, "a generous run, then what is measured here; dropped for another kind of machine"),
-    "times off the cores": Aging(600, "none until calls are made"),
+    "costs": Aging(600, "a generous default, then own measurements; not used on another kind of machine"),
+    "times off the cores": Aging(600, "zero until calls are made"),
     "pace of hints": Aging(600, "one"),
     "ages of first tries elsewhere": Aging(30, "zero"),
-    "patiences": Aging(3600, "none known"),
+    "patiences": Aging(3600, "no observations"),
     "usual call": Aging(300, "the first call that ends"),
-    # kept as a share of the share, so that it fits a fleet of another size
-    "limit on calls": Aging(60, "half of the share, which a stored one never exceeds"),
-    "rates of clients": Aging(0, "an even split; they are measured within seconds"),
-    "share of calls": Aging(0, "what the configuration says"),
-    "times to come back": Aging(0, "new ones: the longest is shorter than a start"),
-    "leases held": Aging(0, "asked for anew"),
-    "zones left": Aging(0, "what peers say, by its number"),
+    # stored relative to the instance's share, so that it fits a fleet of another size
+    "limit on calls": Aging(60, "half of the share, which a stored limit never exceeds"),
+    "rates of clients": Aging(0, "an even split; rates are measured within seconds"),
+    "share of calls": Aging(0, "the configured share"),
+    "times to come back": Aging(0, "new promises: the longest delay is shorter than a start"),
+    "leases held": Aging(0, "requested again"),
+    "zones left": Aging(0, "the latest generation that peers know"),
     "drains begun": Aging(0, "none"),
 }
-FOREVER = ("boot", "generations")  # numbers that never fall: the greatest that is known counts, at any age
+FOREVER = ("boot", "generations")  # numbers that never decrease: the greatest known one is valid at any age
 
 
 def weight(kind: str, age_s: float | None) -> float:
-    """
+    """Returns the weight of a stored value of this kind and age, from 0 to 1.
+
     >>> [weight("costs", age_s) for age_s in (0, 600, 1e6, None)], weight("leases held", 1)
     ([1.0, 0.5, 0.0, 0.0], 0.0)
     """
-    half = KINDS[kind].half_life
-    if age_s is None or half <= 0:
+    half_life = KINDS[kind].half_life
+    if age_s is None or half_life <= 0:
         return 0.0
-    left = float(0.5 ** (max(0.0, age_s) / half))
-    return left if left >= NOTHING else 0.0
+    remaining = float(0.5 ** (max(0.0, age_s) / half_life))
+    return remaining if remaining >= NOTHING else 0.0
 
 
 def age(written_ms: int, now_ms: int) -> float | None:
-    """Seconds; None where the clock says that it was written ahead of now."""
+    """Returns the age of a snapshot in seconds; None if its time is more than `MAX_CLOCK_SKEW_S` in the future."""
     if written_ms > now_ms + FUTURE_S * 1000:
         return None
     return max(0.0, (now_ms - written_ms) / 1000)
 
 
 class Means(msgspec.Struct, frozen=True, array_like=True):
-    """What was learned of one method; microseconds, and how many runs or tries are behind it."""
+    """Learned statistics of one method: means in microseconds and the weights of their samples."""
 
     cost: float = 0.0
     runs: float = 0.0
     off: float = 0.0
     ended: float = 0.0
     ends: float = 0.0
-    patiences: tuple[float, ...] = ()
+    patiences: tuple[float, ...] = ()  # histogram of the timeouts of callers
 
 
 class Learned(msgspec.Struct, frozen=True, array_like=True):
-    """`machine` tells kinds of machine apart; `limit` is a share of this instance's share of calls."""
+    """Learned state of one instance.
+
+    `machine` is the fingerprint of the kind of machine, `limit` the limit on calls relative to the instance's share
+    of calls, `usual_call` the typical call duration in microseconds. `pace` is the mean ratio of time on the cores to
+    the hinted work, `hints` its weight.
+    """
 
     machine: int = 0
     limit: float = 0.0
@@ -93,7 +102,7 @@
 
 
 class Learner(Protocol):
-    """The decision module, as far as it is read and sown here: its sums that forget, and its limit on calls."""
+    """The part of the decision module that holds learned state: decaying sums and the limit on calls."""
 
     usual_call: float
 
@@ -114,106 +123,115 @@
 
 
 def machine_mark(settings: Settings) -> int:
-    """32 bits of what a cost depends on."""
+    """Returns a 32-bit checksum of the settings on which the cost of an RPC depends."""
     from zlib import crc32
     return crc32(f"{settings.cores} {settings.memory:.0f} {settings.run_factor} {settings.by_work}".encode())
 
 
 def harvest(control: Learner, names: list[str], now: int) -> Learned:
-    """What there is to keep; cheap, it is done under the driver's lock."""
-    def mean(of: Any) -> tuple[float, float]:
-        total = of.read(now)
-        return (total / of.count, of.count) if of.count > 0.01 else (0.0, 0.0)
-    methods, three = {}, (control.runs, control.offs, control.ends)
+    """Copies the learned state out of a decision module. Must be cheap: it runs under the driver's lock."""
+    def mean(sums: Any) -> tuple[float, float]:
+        total = sums.read(now)
+        return (total / sums.count, sums.count) if sums.count > 0.01 else (0.0, 0.0)
+    methods, tables = {}, (control.runs, control.offs, control.ends)
     for name, method in zip(names, control.set.methods, strict=True):
-        (cost, runs), (off, _), (ended, ends) = (mean(of[method]) for of in three)
-        methods[name] = Means(cost, runs, off, ended, ends, tuple(round(part, 2) for part in control.firsts[method]))
+        (cost, runs), (off_core_time, _), (reject_age, reject_count) = (mean(table[method]) for table in tables)
+        methods[name] = Means(cost, runs, off_core_time, reject_age, reject_count,
+                              tuple(round(part, 2) for part in control.firsts[method]))
     pace, hints = mean(control.pace)
     share = max(0.01, control.set.calls_out)
     return Learned(machine_mark(control.set), control.below.value / share, control.usual_call, pace, hints, methods)
 
 
 def sow(control: Learner, names: list[str], learned: Learned, age_s: float | None, now: int) -> dict[str, float]:
-    """Gives a fresh module what was learned before, as far as it still counts; returns the weights that counted."""
+    """Restores learned state in a new decision module as far as its age and the kind of machine allow.
+
+    Values that are not finite or out of range are ignored. Returns the weights of the kinds that were restored.
+    """
     used: dict[str, float] = {}
 
-    def counts(kind: str, *values: float) -> float:
+    def usable_weight(kind: str, *values: float) -> float:
         share = weight(kind, age_s)
-        good = all(isfinite(value) and 0 < value < LONGEST_US for value in values)
-        if share and good:
+        is_valid = all(isfinite(value) and 0 < value < LONGEST_US for value in values)
+        if share and is_valid:
             used[kind] = share
             return share
         return 0.0
-    same = learned.machine == machine_mark(control.set)
+    same_machine = learned.machine == machine_mark(control.set)
     for name, method in zip(names, control.set.methods, strict=True):
-        means = learned.methods.get(name)
-        if means is None:
+        stats = learned.methods.get(name)
+        if stats is None:
             continue
-        if same and means.runs > 0 and (share := counts("costs", means.cost, means.runs)):
-            many = min(MOST_RUNS, means.runs) * share
-            control.runs[method].add(means.cost * many, now, many)
-            if means.off and (share := counts("times off the cores", means.off)):
-                control.offs[method].add(means.off * many, now, many)
-        if means.ends and (share := counts("ages of first tries elsewhere", means.ended, means.ends)):
-            many = min(MOST_RUNS, means.ends) * share
-            control.ends[method].add(means.ended * many, now, many)
-        firsts = control.firsts[method]
-        if len(means.patiences) == len(firsts) and all(isfinite(p) and 0 <= p < 1e6 for p in means.patiences) \
-                and (share := counts("patiences")):
-            firsts[:] = [old + share * part for old, part in zip(firsts, means.patiences, strict=True)]
-    if same and learned.hints and (share := counts("pace of hints", learned.pace, learned.hints)):
+        if same_machine and stats.runs > 0 and (share := usable_weight("costs", stats.cost, stats.runs)):
+            samples = min(MOST_RUNS, stats.runs) * share
+            control.runs[method].add(stats.cost * samples, now, samples)
+            if stats.off and (share := usable_weight("times off the cores", stats.off)):
+                control.offs[method].add(stats.off * samples, now, samples)
+        if stats.ends and (share := usable_weight("ages of first tries elsewhere", stats.ended, stats.ends)):
+            samples = min(MOST_RUNS, stats.ends) * share
+            control.ends[method].add(stats.ended * samples, now, samples)
+        histogram = control.firsts[method]
+        if len(stats.patiences) == len(histogram) and all(isfinite(p) and 0 <= p < 1e6 for p in stats.patiences) \
+                and (share := usable_weight("patiences")):
+            histogram[:] = [old + share * part for old, part in zip(histogram, stats.patiences, strict=True)]
+    if same_machine and learned.hints and (share := usable_weight("pace of hints", learned.pace, learned.hints)):
         control.pace.add(learned.pace * share, now, share)
-    if not control.usual_call and counts("usual call", learned.usual_call) > 0.25:
+    if not control.usual_call and usable_weight("usual call", learned.usual_call) > 0.25:
         control.usual_call = learned.usual_call
-    if share := counts("limit on calls", learned.limit):
-        limit, most, least = control.below, control.below.most, control.below.least
-        before = limit.value
-        start = share * learned.limit * max(0.01, control.set.calls_out) + (1 - share) * before
-        # trouble that was met before is met again with care; a limit that had grown is not taken on trust
-        limit.bound(least, min(before, max(least, start)))
-        limit.bound(least, most)
+    if share := usable_weight("limit on calls", learned.limit):
+        limit, max_value, min_value = control.below, control.below.most, control.below.least
+        initial = limit.value
+        start = share * learned.limit * max(0.01, control.set.calls_out) + (1 - share) * initial
+        # a stored limit may lower the initial one, since an overload may persist; a higher stored limit is not trusted
+        limit.bound(min_value, min(initial, max(min_value, start)))
+        limit.bound(min_value, max_value)
     return used
 
 
 def lenders(view: View, machine: int, have: Collection[str]) -> list[Record]:
-    """Peers that may be asked for what was lost: of the same zone and kind of machine, warm, and not asked before."""
+    """Returns the peers that may be asked for learned state: in the same zone, on the same kind of machine, warm, and
+    not in `have`, the peers whose state was received already."""
     return [record for name, record in sorted(view.others.items())
             if record.belief == Belief.ALIVE and record.digest.stage == Stage.SERVING
             and record.digest.machine == machine and record.zone == view.me.zone and name not in have]
 
 
-def agreed(lent: list[Learned], machine: int) -> Learned | None:
-    """What several peers of the same kind of machine hold, by medians; None where fewer than two lend.
+def agreed(states: list[Learned], machine: int) -> Learned | None:
+    """Returns the medians of what several peers with the same kind of machine learned; None for fewer than two peers.
 
-    Guards against one peer that is itself in trouble, or lies: with two the lesser cost counts half.
+    Guards against one peer that is overloaded or sends false values: with two peers the median is the mean, so the
+    lower cost counts half.
     """
-    good = [one for one in lent if one.machine == machine]
-    if len(good) < 2:
+    comparable = [state for state in states if state.machine == machine]
+    if len(comparable) < 2:
         return None
     methods = {}
-    for name in sorted({name for one in good for name in one.methods}):
-        rows = [one.methods[name] for one in good if name in one.methods and one.methods[name].runs > 0]
+    for name in sorted({name for state in comparable for name in state.methods}):
+        rows = [state.methods[name] for state in comparable
+                if name in state.methods and state.methods[name].runs > 0]
         if len(rows) >= 2:
             methods[name] = Means(*(median(getattr(row, field) for row in rows)
                                     for field in ("cost", "runs", "off", "ended", "ends")))
-    # limits and usual calls are each instance's own: a peer's trouble is no reason for ours
-    return Learned(machine, 0.0, median(one.usual_call for one in good), 0.0, 0.0, methods)
+    # the limit on calls is each instance's own: the overload of a peer is no reason for a lower limit here
+    return Learned(machine, 0.0, median(state.usual_call for state in comparable), 0.0, 0.0, methods)
 
 
 class Doubt:
-    """Which tokened RPCs may have run in a process before this one, whose table is gone.
+    """Detects RPCs with an idempotency key that an earlier process, whose key table is lost, may have run.
 
-    A further try that reaches this process within the window after its start may be of an RPC that the one before
-    ran: nothing here can tell. It is not run. A first try is, since no try came before it; and so is a further try of
-    an RPC whose first try came to this very process, which pushed it back.
+    A retry that reaches this process within the method's window after its start may belong to an RPC that the earlier
+    process ran; this process cannot know, so the retry is not run. A first attempt is run, since no attempt preceded
+    it. So is a retry whose first attempt reached this process and was rejected by it.
     """
 
     def __init__(self, born: int) -> None:
         self.born = born
-        self.met: OrderedDict[Hashable, None] = OrderedDict()  # tokens whose first try came here
+        self.met: OrderedDict[Hashable, None] = OrderedDict()  # idempotency keys of first attempts
 
     def may_have_run(self, method: Method, token: Hashable, further: bool, sent: int) -> bool:
-        """`sent`: when the try came to this machine, on the same clock as the start.
+        """Returns whether an earlier process may have run the RPC.
+
+        `received_at`: arrival of the attempt at this machine, by the clock of `started_at`.
 
         >>> hold = Method(MethodKind.TOKENED, 1.0, 800_000, 2_000_000, window=8_000_000)
         >>> doubt = Doubt(1_000_000)
@@ -227,5 +245,5 @@
             return token not in self.met
         self.met[token] = None
         if len(self.met) > MOST_MET:
-            self.met.popitem(last=False)  # what is forgotten is doubted again
+            self.met.popitem(last=False)  # a retry with a forgotten key counts as possibly run
         return False
--- a/hollystage/decisions/leaving/__init__.py
+++ b/hollystage/decisions/leaving/__init__.py
@@ -1,1 +1,1 @@
-"""What a notice to leave means, and when it was given."""
+"""Drain notices: the signal to drain, and when it was given."""
--- a/hollystage/decisions/stalls.py
+++ b/hollystage/decisions/stalls.py
@@ -1,9 +1,9 @@
-"""Whether our own process was late: what it saw of others meanwhile tells of itself."""
+"""Detects that this process itself was suspended, so that delays it observed meanwhile are not blamed on others."""
 from __future__ import annotations
 
 
 class Stalls:
-    """Tells that our own process woke late: what it saw of others meanwhile is its own delay.
+    """Detects late timers. What a late process observed of others may be its own delay. Times in microseconds.
 
     >>> stalls = Stalls(2_000)
     >>> stalls.woke(0, 50_000), stalls.woke(51_500, 50_000), stalls.woke(200_000, 50_000)
@@ -14,7 +14,7 @@
         self.slack, self.due = slack, 0
 
     def woke(self, now: int, next_in: int) -> int:
-        """How late the timer that was due came, in microseconds; 0 within the slack. `next_in`: to the next."""
+        """Returns how late the timer fired; 0 within the tolerance. `next_in`: time until the next timer."""
         late = now - self.due if self.due else 0
         self.due = now + next_in
         return late if late > self.slack else 0
--- a/hollystage/decisions/turns.py
+++ b/hollystage/decisions/turns.py
@@ -1,20 +1,20 @@
-"""When an instance does what many would else do at once: its turn is drawn over a budget of the whole fleet."""
+"""Random start delays: spread requests that many instances would otherwise send at once."""
 from __future__ import annotations
 
 import random
 
-# what the whole fleet may ask for a second while it comes back, whatever its size
+# requests per second of the whole fleet while it restarts, for any size of the fleet
 BUDGETS = {"exchange": 200.0, "fetch": 50.0, "report": 400.0}
 
 
 class Turns:
-    """When this instance does what many would else do at once."""
+    """Draws start delays from a seed."""
 
     def __init__(self, seed: int) -> None:
         self.chance = random.Random(seed)
 
     def wait(self, what: str, contenders: int) -> int:
-        """Microseconds: drawn evenly over the time that all contenders need at the fleet's budget.
+        """Returns a delay in microseconds, uniform over the time that all contenders need at the fleet's rate.
 
         >>> turns = Turns(1)
         >>> all(0 <= turns.wait("report", 300) <= 750_000 for _ in range(100)), turns.wait("report", 1) <= 2500
