--- a/hollystage/decisions/comeback/recovery.py
+++ b/hollystage/decisions/comeback/recovery.py
@@ -182,7 +182,7 @@
         limit, max_value, min_value = control.below, control.below.most, control.below.least
         initial = limit.value
         start = share * learned.limit * max(0.01, control.set.calls_out) + (1 - share) * initial
-        # a stored limit may lower the initial one, since an overload may persist; a higher stored limit is not trusted
+        # a stored limit may lower the initial one, since an overload may persist; a higher one is not trusted
         limit.bound(min_value, min(initial, max(min_value, start)))
         limit.bound(min_value, max_value)
     return used
