--- a/tests/test_notice.py
+++ b/tests/test_notice.py
@@ -1,4 +1,4 @@
-"""A notice to leave that is heard late, by a process that was paused, reads its files or starts: its grace."""
+"""Drain notices that are received late, since the process was suspended, reads its files or starts."""
 import json
 import os
 import signal
@@ -13,25 +13,25 @@
 from hollystage.decisions.leaving.notice import BEAT, Notice
 from hollystage.service.buffers import Broken
 
-GRACE_S = 0.3  # as the world's settings have it
+GRACE_S = 0.3  # equal to the setting of World
 
 
 @pytest.mark.parametrize("grace", [2_000_000, 300_000, 0])
-def test_a_sleep_is_told_from_a_late_beat_and_nothing_is_in_doubt_while_all_is_well(grace):
+def test_only_a_suspension_puts_rpcs_in_doubt_and_not_a_late_heartbeat(grace):
     notice = Notice(grace, 0)
-    for at in range(0, 10 * BEAT, BEAT):
-        notice.beat(at)
-        assert not notice.in_doubt(at + BEAT) and notice.given(at + BEAT) == at + BEAT
-    awake = at + max(grace, 4 * BEAT) + BEAT
-    notice.beat(awake)  # the notice may have come right after the beat before, or even before its thread ran
-    assert notice.given(awake) == at - BEAT and notice.in_doubt(awake)
-    notice.beat(awake + BEAT)
-    assert notice.given(awake + 3 * BEAT) == awake and not notice.in_doubt(awake + 3 * BEAT)
-    assert notice.given(awake - 5) == awake - 5  # a clock that was set back
-    notice.beat(awake + 10_000_000)
-    assert notice.given(awake + 10_000_000) == awake
-    notice.silent(awake + 10_000_000)  # a look proves more than beats
-    assert not notice.in_doubt(awake + 10_000_001)
+    for now in range(0, 10 * BEAT, BEAT):
+        notice.beat(now)
+        assert not notice.in_doubt(now + BEAT) and notice.given(now + BEAT) == now + BEAT
+    resumed = now + max(grace, 4 * BEAT) + BEAT
+    notice.beat(resumed)  # the notice may have come just after the last heartbeat, or before its thread ran
+    assert notice.given(resumed) == now - BEAT and notice.in_doubt(resumed)
+    notice.beat(resumed + BEAT)
+    assert notice.given(resumed + 3 * BEAT) == resumed and not notice.in_doubt(resumed + 3 * BEAT)
+    assert notice.given(resumed - 5) == resumed - 5  # the clock was set back
+    notice.beat(resumed + 10_000_000)
+    assert notice.given(resumed + 10_000_000) == resumed
+    notice.silent(resumed + 10_000_000)  # a check proves more than heartbeats
+    assert not notice.in_doubt(resumed + 10_000_001)
 
 
 @pytest.fixture
@@ -40,13 +40,13 @@
     world.path = tmp_path / "config.json"
     world.path.write_text(json.dumps(world.given))
     yield world
-    for other in (world.interpreter, world.ledger, world.control):
-        other.close()
+    for peer in (world.interpreter, world.ledger, world.control):
+        peer.close()
 
 
 @pytest.fixture
 def process(world):
-    started = begin(world)
+    started = start_process(world)
     until(lambda: world.control.heard)
     until(lambda: world.interpreter.got("TOP"))
     yield started
@@ -55,24 +55,24 @@
     started.stderr.close()
 
 
-def begin(world):
+def start_process(world):
     return subprocess.Popen([sys.executable, "-m", "hollystage", "serve"], stderr=subprocess.PIPE,
                             env={**os.environ, "PROXY_CONFIG": str(world.path)})
 
 
-def stopped(pid):
+def is_stopped(pid):
     return open(f"/proc/{pid}/stat").read().rpartition(")")[2].split()[0] == "T"
 
 
 def pause(process):
     process.send_signal(signal.SIGSTOP)
-    until(lambda: stopped(process.pid))
+    until(lambda: is_stopped(process.pid))
 
 
-@pytest.mark.parametrize("shape", ["new", "kept", "several", "many"])
-def test_nothing_runs_that_came_in_a_pause_past_the_grace_of_its_notice(world, process, shape):
-    kept = [world.caller() for _ in range({"new": 0, "kept": 1, "several": 1, "many": 30}[shape])]
-    for number, caller in enumerate(kept, 1):  # each has carried an RPC, and is idle
+@pytest.mark.parametrize("connections", ["new", "kept", "several", "many"])
+def test_rpcs_that_arrive_during_a_pause_after_the_drain_grace_are_not_run(world, process, connections):
+    kept = [world.caller() for _ in range({"new": 0, "kept": 1, "several": 1, "many": 30}[connections])]
+    for number, caller in enumerate(kept, 1):  # each connection has served an RPC and is idle
         caller.send("order")
         world.interpreter.end(world.interpreter.applied(number)[-1])
         assert caller.answer().keep
@@ -81,24 +81,24 @@
     process.send_signal(signal.SIGTERM)
     time.sleep(GRACE_S + 0.3)
     callers = kept or [world.caller() for _ in range(5)]
-    each = 3 if shape == "several" else 1
+    rpcs = 3 if connections == "several" else 1
     for caller in callers:
-        for _ in range(each):
+        for _ in range(rpcs):
             caller.send("order")
-    time.sleep(0.2)  # small messages lie with their sender until the first is acknowledged
+    time.sleep(0.2)  # the kernel delays small messages until the first one is acknowledged
     process.send_signal(signal.SIGCONT)
-    statuses = [caller.answer().status for caller in callers for _ in range(each)]
+    statuses = [caller.answer().status for caller in callers for _ in range(rpcs)]
     assert set(statuses) == {503} and len(world.interpreter.got("APPLY")) == len(kept)
     assert process.wait(4) == 0
 
 
-def test_what_ran_before_the_pause_is_answered_and_a_pause_alone_turns_nothing_away(world, process):
+def test_rpcs_that_run_before_a_pause_are_answered_and_a_pause_without_notice_rejects_nothing(world, process):
     running = world.caller().send("order")
     (ident,) = world.interpreter.applied()
     pause(process)
     time.sleep(GRACE_S + 0.3)
     within = world.caller().send("order")
-    process.send_signal(signal.SIGCONT)  # no notice: it runs
+    process.send_signal(signal.SIGCONT)  # no notice was given, so the RPC runs
     second = until(lambda: set(world.interpreter.applied(2)) - {ident}).pop()
     pause(process)
     process.send_signal(signal.SIGTERM)
@@ -110,23 +110,23 @@
     assert "instance.unheard" not in process.stderr.read().decode()
 
 
-def test_one_that_slept_past_its_kill_answers_all_at_once(world, process):
+def test_a_process_that_resumes_after_its_stop_time_answers_everything_immediately(world, process):
     running = world.caller().send("order")
     world.interpreter.applied()
     pause(process)
     process.send_signal(signal.SIGTERM)
     time.sleep(2.7)
     late = world.caller().send("order")
-    begun = time.monotonic()
+    resumed = time.monotonic()
     process.send_signal(signal.SIGCONT)
     assert [running.answer().status, late.answer().status] == [500, 503]
-    assert process.wait(4) == 0 and time.monotonic() - begun < 1.5 and len(world.interpreter.applied()) == 1
+    assert process.wait(4) == 0 and time.monotonic() - resumed < 1.5 and len(world.interpreter.applied()) == 1
 
 
-def test_a_notice_is_heard_in_the_middle_of_a_reload(world, process):
+def test_a_notice_is_handled_during_a_reload(world, process):
     idle = world.caller()
     world.path.unlink()
-    os.mkfifo(world.path)  # whoever reads it waits until somebody writes
+    os.mkfifo(world.path)  # a reader blocks until the FIFO has a writer
     process.send_signal(signal.SIGHUP)
     time.sleep(0.2)
     process.send_signal(signal.SIGTERM)
@@ -137,8 +137,8 @@
     assert process.wait(4) == 0 and not world.interpreter.got("APPLY")
 
 
-def test_a_notice_right_after_a_start_counts_from_the_start(world):
-    started = begin(world)
+def test_the_grace_of_a_notice_right_after_a_start_begins_at_the_start(world):
+    started = start_process(world)
     blocked = signal.SIGTERM - 1
     until(lambda: int(next(line for line in open(f"/proc/{started.pid}/status") if line.startswith("SigBlk"))
                       .split()[1], 16) >> blocked & 1)
@@ -151,6 +151,6 @@
             caller = world.caller().send("order")
             assert caller.answer().status == 503
         except (OSError, Broken):
-            continue  # not up yet, or gone
+            continue  # not started yet, or already ended
     assert started.wait() == 0 and not world.interpreter.got("APPLY")
     started.stderr.close()
