--- a/hollystage/decisions/membership/held.py
+++ b/hollystage/decisions/membership/held.py
@@ -1,6 +1,7 @@
-"""What a process holds of the others, and of itself: which record counts, who is doubted, who is gone.
+"""The membership state of one process: records of all members, suspicions, timers and pending output.
 
-A part of `Members`; what is sent and when others are asked is decided in `probing` and `members`.
+`MembershipState` decides which record of a member wins, who is suspected and who is gone. It is the base of
+`FailureDetector` (`probing`) and `Members` (`members`), which decide what is sent and when members are probed.
 """
 from __future__ import annotations
 
@@ -19,100 +20,103 @@
 from .terms import Terms
 from .words import Event, Meet, Ping, Send, Word
 
-ROOM = 880  # bytes of a datagram for records; the rest is for heads and the hash
-CLAIMS = 4  # times that a process raises its boot over what is said under its name, in a row
-EVENTS = 1_000  # kept until they are taken
+ROOM = 880  # bytes of a datagram for records; the rest is for headers, the message and the hash
+CLAIMS = 4  # times that a process may raise its boot number between two cleanups of tombstones
+EVENTS = 1_000  # further events are dropped until the pending ones are taken
 
 
 class Held:
-    """One process's view and its timers; `me` is its own record, `named` the addresses that the plan names."""
+    """One process's records and timers; `me` is its own record, `configured_peers` the addresses from the plan."""
 
-    def __init__(self, me: Record, named: Iterable[str], terms: Terms, seed: int, now: int) -> None:
-        self.me, self.terms, self.chance, self.now = me, terms, random.Random(seed), now
-        self.named = [address for address in named if address != me.address]
+    def __init__(self, me: Record, configured_peers: Iterable[str], parameters: Terms, seed: int, now: int) -> None:
+        self.me, self.terms, self.chance, self.now = me, parameters, random.Random(seed), now
+        self.named = [address for address in configured_peers if address != me.address]
         self.records: dict[str, Record] = {}
-        self.living: list[str] = []  # names, in no order that means anything
-        self.turns: list[str] = []  # to be probed, the last first
+        self.living: list[str] = []  # names of live members, in arbitrary order
+        self.turns: list[str] = []  # names to probe in this round, the next one last
         self.suspects: dict[str, Suspicion] = {}
-        self.gone: dict[str, int] = {}  # since when, of those that are lost or left
-        self.places: dict[str, str] = {}  # the living's names by their addresses
-        self.news = Gazette(terms.spread)
-        self.health = Health(terms.worst)
+        self.gone: dict[str, int] = {}  # lost and left members, and since when
+        self.places: dict[str, str] = {}  # of live members
+        self.news = Gazette(parameters.spread)
+        self.health = Health(parameters.worst)
         self.timers: list[tuple[int, int, Callable[[Any], None], Any]] = []
         self.out: list[Send | Meet] = []
         self.events: list[Event] = []
         self.counts: Counter[str] = Counter()
-        self.stalls = Stalls(terms.timeout // 2)
-        self.mute_until = now  # accuses nobody before
-        self.unheard: set[str] | None = None  # since it slept; None where its beliefs are fresh
+        self.stalls = Stalls(parameters.timeout // 2)
+        self.mute_until = now  # no suspicions of others before this time
+        self.unheard: set[str] | None = None  # live members not heard from since a pause; None if the view is fresh
         self.joined = self.ousted = self.stopped = self.catching = False
-        self.changed = True  # the view, since it was last taken
-        self.met_at = now - terms.again
+        self.changed = True  # since the view was last taken
+        self.met_at = now - parameters.again
         self.claims = 0
-        self.doubted: tuple[int, int] | None = None  # a process of our name that may be alive elsewhere
+        self.doubted: tuple[int, int] | None = None  # another process with our name that may still run
         self.seq = self.count = self.newcomers = 0
 
-    # What is held
+    # Records
 
-    def _learn(self, new: Record, by: str, met: bool = False) -> None:
-        """`met`: told in a full exchange, where an old belief may come up that nobody would gossip any more."""
+    def _learn(self, new: Record, reporter: str, from_sync: bool = False) -> None:
+        """Applies a record that a peer sent.
+
+        `from_sync`: the record comes from a full sync, which can contain beliefs that gossip no longer spreads.
+        """
         if new.name == self.me.name:
             self._of_me(new)
             return
         old = self.records.get(new.name)
         if old is None:
             if not new.living:
-                return  # guards against the gone being handed round for ever
+                return  # otherwise members would pass tombstones around for ever
             if len(self.records) >= self.terms.most:
                 self.counts["full"] += 1
                 return
-            first = not self.living
+            is_first = not self.living
             self.newcomers += 1
             self._hold(new)
             self._event("alive", new.name, new.address)
-            if first and not met:
+            if is_first and not from_sync:
                 self._meet(new.address)
             if new.belief == Belief.SUSPECT:
-                self._doubt(new, by)
-            self.news.add(News(new, by))
+                self._doubt(new, reporter)
+            self.news.add(News(new, reporter))
             return
-        if met and new.belief == Belief.LOST and old.living and new.process == old.process:
-            # it may well live: it is given the time to say so
+        if from_sync and new.belief == Belief.LOST and old.living and new.process == old.process:
+            # the member may be alive: as a suspect it has time to refute this
             new = msgspec.structs.replace(new, belief=Belief.SUSPECT)
-        now_held = merged(old, new)
-        if now_held is old:
+        winner = merged(old, new)
+        if winner is old:
             if new.belief == Belief.SUSPECT and new.weight == old.weight:
-                self._confirm(old, by)
+                self._confirm(old, reporter)
             return
-        self.newcomers += now_held.process != old.process
-        self._hold(now_held)
-        if now_held.weight != old.weight:
-            self._turned(old, now_held, by)
-        self.news.add(News(now_held, by))
-
-    def _turned(self, old: Record, new: Record, by: str) -> None:
-        """What follows from another belief about a member, or from another process under its name."""
-        name, another = new.name, new.process != old.process
+        self.newcomers += winner.process != old.process
+        self._hold(winner)
+        if winner.weight != old.weight:
+            self._turned(old, winner, reporter)
+        self.news.add(News(winner, reporter))
+
+    def _turned(self, old: Record, new: Record, reporter: str) -> None:
+        """Handles a changed belief about a member, or another process with its name."""
+        name, other_process = new.name, new.process != old.process
         if new.belief != Belief.SUSPECT:
             self.suspects.pop(name, None)
-        if another:
+        if other_process:
             self._event("boot", name, f"{old.boot} to {new.boot}")
         match new.belief:
             case Belief.ALIVE:
-                if old.belief != Belief.ALIVE and not another:
-                    self._event("refuted" if old.belief == Belief.SUSPECT else "back", name, f"by {by}")
-                if not old.living and not another and self.now - self.met_at >= self.terms.again:
-                    # one that was held for lost and lives: we were cut from it, and most likely from others
+                if old.belief != Belief.ALIVE and not other_process:
+                    self._event("refuted" if old.belief == Belief.SUSPECT else "back", name, f"by {reporter}")
+                if not old.living and not other_process and self.now - self.met_at >= self.terms.again:
+                    # a lost member is alive: a partition separated us from it, and most likely from others
                     self._meet(new.address)
             case Belief.SUSPECT:
-                self._doubt(new, by)
+                self._doubt(new, reporter)
             case Belief.LOST:
-                self._event("lost", name, f"by {by}")
+                self._event("lost", name, f"by {reporter}")
             case Belief.LEFT:
                 self._event("left", name)
 
     def _hold(self, record: Record) -> None:
-        """The one place where a record is held and its name is put where living or gone ones are."""
+        """Stores a record and updates all tables by name and address. No other method changes them."""
         old = self.records.get(record.name)
         self.records[record.name] = record
         self.changed = True
@@ -121,7 +125,7 @@
             self.places[record.address] = record.name
             if old is None or not old.living:
                 self.living.append(record.name)
-                # at a random place of this round: else many newcomers are all probed at once
+                # at a random place of this round, so that many new members are not all probed at the same time
                 self.turns.insert(self.chance.randint(0, len(self.turns)), record.name)
         else:
             self.gone.setdefault(record.name, self.now)
@@ -132,56 +136,57 @@
                 if self.unheard is not None:
                     self.unheard.discard(record.name)
 
-    def _doubt(self, record: Record, by: str) -> None:
-        """Its time begins, or begins anew with a greater incarnation."""
-        least = span(self.terms.base, len(self.living) + 1, self.terms.period)
-        doubt = Suspicion(self.now, by, least, int(least * self.terms.stretch),
-                          min(self.terms.confirmations, len(self.living) - 1))
-        self.suspects[record.name] = doubt
-        self._event("suspect", record.name, f"by {by}")
-        self._at(doubt.until, self._time_over, record.name)
-
-    def _confirm(self, record: Record, by: str) -> None:
-        """A further member saw no answer either: the suspect's time is shorter."""
-        doubt = self.suspects.get(record.name)
-        if doubt is not None and doubt.confirm(by):
-            self.news.add(News(record, by))
-            self._at(doubt.until, self._time_over, record.name)
+    def _doubt(self, record: Record, reporter: str) -> None:
+        """Starts the suspicion timeout of a member; starts it again for a suspicion of a higher incarnation."""
+        min_time = span(self.terms.base, len(self.living) + 1, self.terms.period)
+        suspicion = Suspicion(self.now, reporter, min_time, int(min_time * self.terms.stretch),
+                              min(self.terms.confirmations, len(self.living) - 1))
+        self.suspects[record.name] = suspicion
+        self._event("suspect", record.name, f"by {reporter}")
+        self._at(suspicion.until, self._time_over, record.name)
+
+    def _confirm(self, record: Record, reporter: str) -> None:
+        """Shortens the suspicion timeout: another member got no answer either."""
+        suspicion = self.suspects.get(record.name)
+        if suspicion is not None and suspicion.confirm(reporter):
+            self.news.add(News(record, reporter))
+            self._at(suspicion.until, self._time_over, record.name)
 
     def _time_over(self, name: str) -> None:
-        doubt = self.suspects.get(name)
-        if doubt is None:
+        """Timer: declares a suspect lost once its timeout has expired and this process may accuse others."""
+        suspicion = self.suspects.get(name)
+        if suspicion is None:
             return
-        until = max(doubt.until, self.mute_until)
-        if self.now < until:
-            if until > doubt.until:
-                self._at(until, self._time_over, name)
+        not_before = max(suspicion.until, self.mute_until)
+        if self.now < not_before:
+            if not_before > suspicion.until:
+                self._at(not_before, self._time_over, name)
             return
         self._learn(msgspec.structs.replace(self.records[name], belief=Belief.LOST), self.me.name)
 
-    def _of_me(self, said: Record) -> None:
-        """What others hold of our name: refuted, or that of another process."""
-        mine = self.me
-        if said.process == mine.process:
-            if said.belief not in (Belief.ALIVE, Belief.LEFT) and said.incarnation >= mine.incarnation:
-                self.me = msgspec.structs.replace(mine, incarnation=said.incarnation + 1)
+    def _of_me(self, reported: Record) -> None:
+        """Handles a record with this process's name: refutes an accusation, or detects another process."""
+        own = self.me
+        if reported.process == own.process:
+            if reported.belief not in (Belief.ALIVE, Belief.LEFT) and reported.incarnation >= own.incarnation:
+                self.me = msgspec.structs.replace(own, incarnation=reported.incarnation + 1)
                 self.health.note(1)
                 self.counts["refuted"] += 1
-                self._event("accused", mine.name, Belief(said.belief).name.lower())
+                self._event("accused", own.name, Belief(reported.belief).name.lower())
                 self._tell_of_me()
-        elif said.process > mine.process:
-            if said.living and said.address != mine.address:
-                if self.doubted != said.process:
-                    # it may be alive: it is asked itself, and only silence lets us go before it
-                    self.doubted = said.process
+        elif reported.process > own.process:
+            if reported.living and reported.address != own.address:
+                if self.doubted != reported.process:
+                    # the other process may be alive: ping it, and raise our boot number only if it does not answer
+                    self.doubted = reported.process
                     self.seq += 1
-                    self._send(said.address, Ping(self.seq, mine.name))
-                    self._at(self.now + 3 * self.terms.period, self._outlive, said.boot)
+                    self._send(reported.address, Ping(self.seq, own.name))
+                    self._at(self.now + 3 * self.terms.period, self._outlive, reported.boot)
             else:
-                self._outlive(said.boot)
+                self._outlive(reported.boot)
 
     def _outlive(self, boot: int) -> None:
-        """Goes before what is remembered of our name: peers may remember a boot that our clock does not reach."""
+        """Raises our boot number above the one that peers remember, which may be ahead of our clock."""
         if boot < self.me.boot or self.ousted:
             return
         self.doubted = None
@@ -194,50 +199,59 @@
         self._tell_of_me()
 
     def _twin(self, sender: Record) -> None:
-        """Another living process goes by our name: the later one keeps it."""
+        """Handles a message from another live process with the same name: the later process keeps the name."""
         self.counts["twin"] += 1
         if sender.process > self.me.process:
             self.ousted, self.changed = True, True
-            self._event("ousted", self.me.name, f"another process at {sender.address} has the name since")
+            self._event("ousted", self.me.name, f"the name is taken by a later process at {sender.address}")
             return
         if self.counts["twin"] == 1 or self.counts["twin"] % 100 == 0:
             self._event("twin", self.me.name, f"another process at {sender.address} has the same name")
         self.seq += 1
-        self._send(sender.address, Ping(self.seq, self.me.name))  # so that it hears of us
+        self._send(sender.address, Ping(self.seq, self.me.name))  # so that it learns about this process
 
     def _tell_of_me(self) -> None:
+        """Queues this process's own record for gossip."""
         self.changed = True
         self.news.add(News(self.me, self.me.name))
 
-    # Sending, time
+    # Output and timers
+
+    def _send(self, address: str, message: Word, receiver: Record | None = None) -> None:
+        """Queues a message together with gossip.
 
-    def _send(self, address: str, word: Word, about: Record | None = None) -> None:
-        """`about`: what we hold of the receiver; where it is accused it hears so first, to refute it."""
-        first = News(about, self.me.name) if about is not None and about.belief != Belief.ALIVE else None
-        doubt = self.suspects.get(about.name) if about is not None else None
-        if first is not None and doubt is not None:
-            first = News(first.record, doubt.by[0])
+        `receiver`: our record of the receiver. If it is accused, that record is sent first, so that it can refute it.
+        """
+        first = News(receiver, self.me.name) if receiver is not None and receiver.belief != Belief.ALIVE else None
+        suspicion = self.suspects.get(receiver.name) if receiver is not None else None
+        if first is not None and suspicion is not None:
+            first = News(first.record, suspicion.by[0])
         room = ROOM - self.me.size()
-        self.out.append(Send(address, word, self.news.take(room, len(self.living) + 1, first)))
+        self.out.append(Send(address, message, self.news.take(room, len(self.living) + 1, first)))
 
     def _meet(self, address: str) -> None:
+        """Requests a full sync with the process at this address."""
         if not self.ousted:
             self.met_at = self.now
             self.out.append(Meet(address))
 
     @property
     def next_at(self) -> int:
+        """The time of the next timer."""
         return self.timers[0][0] if self.timers else self.now + self.terms.period
 
-    def _at(self, when: int, what: Callable[[Any], None], about: Any) -> None:
+    def _at(self, when: int, callback: Callable[[Any], None], argument: Any) -> None:
+        """Starts a timer."""
         self.count += 1
-        heappush(self.timers, (when, self.count, what, about))
+        heappush(self.timers, (when, self.count, callback, argument))
 
     def _refreshed(self) -> None:
+        """Marks the view as fresh again after a pause of this process."""
         if self.unheard is not None:
             self.unheard, self.changed = None, True
 
-    def _event(self, what: str, who: str, detail: str = "") -> None:
-        self.counts[f"event_{what}"] += 1
+    def _event(self, kind: str, member: str, detail: str = "") -> None:
+        """Records an event for the log and counts it."""
+        self.counts[f"event_{kind}"] += 1
         if len(self.events) < EVENTS:
-            self.events.append(Event(self.now, what, who, detail))
+            self.events.append(Event(self.now, kind, member, detail))
--- a/hollystage/decisions/membership/probing.py
+++ b/hollystage/decisions/membership/probing.py
@@ -1,4 +1,7 @@
-"""Who is asked whether it lives, and what an answer or its lack means; a pause of our own is told from theirs."""
+"""The failure detector: probes members directly and through helpers, and reacts to missing answers.
+
+It also detects pauses of this process, so that members are not suspected because this process did not run.
+"""
 from __future__ import annotations
 
 from typing import Any
@@ -12,22 +15,25 @@
 
 
 class Probe:
+    """A ping that waits for its answer, and the helpers that were asked to probe the same member."""
+
     __slots__ = ("name", "process", "asked", "nacks", "to")
 
-    def __init__(self, name: str, process: tuple[int, int], to: str) -> None:
-        self.name, self.process, self.to = name, process, to
+    def __init__(self, name: str, process: tuple[int, int], address: str) -> None:
+        self.name, self.process, self.to = name, process, address
         self.asked = self.nacks = 0
 
 
 class Probing(Held):
-    """The part of `Members` that asks and is asked."""
+    """The part of `Members` that sends probes and answers requests for probes."""
 
-    def __init__(self, me: Record, named: Any, terms: Terms, seed: int, now: int) -> None:
-        super().__init__(me, named, terms, seed, now)
+    def __init__(self, me: Record, configured_peers: Any, parameters: Terms, seed: int, now: int) -> None:
+        super().__init__(me, configured_peers, parameters, seed, now)
         self.probes: dict[int, Probe] = {}
-        self.relays: dict[int, tuple[str, int]] = {}  # whom an answer is due to, and its number there
+        self.relays: dict[int, tuple[str, int]] = {}  # address of the requester and its sequence number
 
     def _probe(self, _: None) -> None:
+        """Timer: pings the next member of this round."""
         self._at(self.now + self.health.stretch(self.terms.period), self._probe, None)
         if self.ousted:
             return
@@ -41,6 +47,7 @@
         self._at(self.now + self.health.stretch(self.terms.period) - 1, self._unanswered, self.seq)
 
     def _next_turn(self) -> Record | None:
+        """Returns the next live member of this round; shuffles all members for a new round when one ends."""
         for _ in range(len(self.turns) + len(self.living) + 1):
             if not self.turns:
                 if not self.living:
@@ -53,27 +60,30 @@
         return None
 
     def _late(self, seq: int) -> None:
+        """Timer: no answer within the ack timeout. Pings once more and asks helpers to probe the member."""
         probe = self.probes.get(seq)
         if probe is None:
             return
         record = self.records.get(probe.name)
-        self._send(probe.to, Ping(seq, probe.name), record)  # once more: a single datagram may have been lost
-        others = [name for name in self._some(2 * self.terms.helpers + 1) if name != probe.name]
-        # suspects last: what they do not answer would be laid to our own side
-        others.sort(key=lambda name: name in self.suspects)
-        for name in others[:self.terms.helpers]:
+        self._send(probe.to, Ping(seq, probe.name), record)  # a single datagram may have been lost
+        helpers = [name for name in self._some(2 * self.terms.helpers + 1) if name != probe.name]
+        # suspects last: their missing answers would be taken for a problem of this process
+        helpers.sort(key=lambda name: name in self.suspects)
+        for name in helpers[:self.terms.helpers]:
             probe.asked += 1
             self._send(self.records[name].address, Ask(seq, probe.name, probe.to))
 
-    def _some(self, many: int) -> list[str]:
-        return self.chance.sample(self.living, min(many, len(self.living)))
+    def _some(self, count: int) -> list[str]:
+        """Returns the names of up to `count` random live members."""
+        return self.chance.sample(self.living, min(count, len(self.living)))
 
     def _unanswered(self, seq: int) -> None:
+        """Timer: the probe period is over without an answer. Suspects the member, or confirms its suspicion."""
         probe = self.probes.pop(seq, None)
         if probe is None:
             return
         self.counts["probes_failed"] += 1
-        # helpers that do not even say that they heard no answer: our own side may be the trouble
+        # helpers that send not even a Nack: the problem may be on the side of this process
         self.health.note(probe.asked - probe.nacks if probe.asked else 1)
         record = self.records.get(probe.name)
         if record is None or record.process != probe.process or not record.living:
@@ -86,34 +96,40 @@
         else:
             self._learn(msgspec.structs.replace(record, belief=Belief.SUSPECT), self.me.name)
 
-    def _acked(self, word: Ack) -> None:
-        probe = self.probes.get(word.seq)
-        if probe is not None and probe.name == word.of:
-            del self.probes[word.seq]
+    def _acked(self, message: Ack) -> None:
+        """Ends the probe that the Ack answers, and relays it if the probe was made for another member."""
+        probe = self.probes.get(message.seq)
+        if probe is not None and probe.name == message.of:
+            del self.probes[message.seq]
             self.health.note(-1)
             if self.unheard is not None:
-                # an answer to what was asked since: what lay in the socket while it slept is no fresh word
-                self.unheard.discard(word.of)
+                # only answers to probes sent after the pause count: what waited in the socket during it is not fresh
+                self.unheard.discard(message.of)
                 if 2 * len(self.unheard) <= len(self.living):
                     self._refreshed()
-        relay = self.relays.pop(word.seq, None)
+        relay = self.relays.pop(message.seq, None)
         if relay is not None:
-            self._send(relay[0], Ack(relay[1], word.of))
+            self._send(relay[0], Ack(relay[1], message.of))
 
-    def _asked(self, word: Ask, sender: Record) -> None:
+    def _asked(self, message: Ask, sender: Record) -> None:
+        """Probes a member for another one and remembers to relay the answer."""
         self.seq += 1
-        self.relays[self.seq] = sender.address, word.seq
-        self._send(word.address, Ping(self.seq, word.name), self.records.get(word.name))
+        self.relays[self.seq] = sender.address, message.seq
+        self._send(message.address, Ping(self.seq, message.name), self.records.get(message.name))
         self._at(self.now + self.terms.timeout, self._not_relayed, self.seq)
 
     def _not_relayed(self, seq: int) -> None:
+        """Timer: the member that was probed for a requester did not answer in time."""
         relay = self.relays.pop(seq, None)
         if relay is not None:
             self._send(relay[0], Nack(relay[1]))
 
     def _wake(self, now: int) -> None:
-        """Guards the others against what a process believes that slept itself: its unanswered probes tell of its
-        own pause, and what it held is old. It accuses nobody until it has had time to hear of them."""
+        """Detects a pause of this process and discards what it cannot trust after it.
+
+        Unanswered probes may be due to the pause itself, and the view is out of date. This process suspects nobody
+        until it has had time to hear from the other members.
+        """
         late = self.stalls.woke(now, max(0, self.next_at - now))
         self.now = max(self.now, now)
         if not late:
