--- a/hollystage/decisions/membership/records.py
+++ b/hollystage/decisions/membership/records.py
@@ -1,11 +1,12 @@
-"""What instances tell each other of one another: records, and which of two records counts.
+"""The records that members exchange about each other, and the rule that decides which of two records wins.
 
-A record is what is held of one process: who it is, where it is reached, whether it is believed to live, and the
-digest that it says of itself. Everything that travels is made of records; nothing else is gossiped.
+A record describes one process: its name, its address, whether it is believed to be alive, and the status that it
+publishes about itself. Gossip and full syncs carry nothing but records.
 
-Who counts over whom is one comparison of tuples (`Record.weight`): a later boot over an earlier one, whatever was
-said of the earlier; within a boot the greater incarnation, which only the process itself raises; within an
-incarnation the worse news. So no order of arrival and no repeat changes what a member believes in the end.
+Two records of a member are compared by a tuple (`Record.precedence`). A later boot wins over an earlier one,
+whatever was reported about the earlier; within a boot the higher incarnation wins, which only the process itself
+raises; within an incarnation the worse belief wins. Neither the order of arrival nor repetition changes the final
+view of a member.
 """
 from __future__ import annotations
 
@@ -16,14 +17,14 @@
 
 import msgspec
 
-MOST_GENERATIONS, MOST_EXTRA = 8, 64  # numbers of a digest; bytes that further parts may add to it
+MOST_GENERATIONS, MOST_EXTRA = 8, 64  # numbers in a status; bytes of its `extra` field
 NAME = re.compile(r"[A-Za-z0-9._-]{1,64}").fullmatch
-PLACE = re.compile(r"[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}").fullmatch  # nobody waits for a name look-up
-FIXED = 80  # bytes of a record beside its strings, at the most: numbers of up to nine bytes and their heads
+PLACE = re.compile(r"[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}").fullmatch  # IP addresses only, so that nothing waits for DNS
+FIXED = 80  # bytes of a record without its strings: numbers of up to nine bytes and headers
 
 
 class Belief(IntEnum):
-    """What is held of a member; the order is that of `Record.weight`."""
+    """The believed state of a member, in the order of `Record.precedence`."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -32,7 +33,7 @@
 
 
 class Stage(IntEnum):
-    """Where a process is in its life, as it says itself."""
+    """The lifecycle stage that a process publishes about itself."""
 
     STARTING = 0
     COLD = 1
@@ -45,11 +46,12 @@
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """What a process says of itself. `version` grows with each change and counts within one boot only.
+    """The status that a process publishes about itself.
 
-    `plan`: the first 32 bits of its plan's digest; `generations`: numbers that never fall, by position;
-    `age`: seconds since what it goes by was learned, 0 for what it learns itself; `extra`: what leases and
-    zones add, bounded; `pressure`: 0 to 3, how much is pushed back; `machine`: a mark of its kind of machine.
+    `version`: grows with each change, within one boot. `plan`: the first 32 bits of the hash of its plan.
+    `generations`: numbers that never decrease, by position. `age`: seconds since its statistics were learned; 0 if it
+    learns them itself. `extra`: bounded data of leases and zones. `pressure`: 0 to 3, a level of the share of
+    rejected RPCs. `machine`: fingerprint of the kind of machine.
     """
 
     version: int = 0
@@ -63,11 +65,11 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One process. `birth` is a random number of 62 bits: two processes under one name and boot differ in it."""
+    """One process. `birth` is a random 62-bit number that tells processes with equal name and boot number apart."""
 
     name: str
     zone: str
-    address: str  # host:port, where others reach it
+    address: str  # host:port at which peers reach it
     boot: int
     birth: int
     incarnation: int = 0
@@ -76,53 +78,55 @@
 
     @property
     def process(self) -> tuple[int, int]:
-        """Orders the processes of one name: the greater is the later."""
+        """Orders the processes of one name: the later one is greater."""
         return self.boot, self.birth
 
     @property
     def weight(self) -> tuple[int, int, int, int]:
-        """The greater counts. What left said so itself: no incarnation of it comes after that."""
+        """The greater record wins. LEFT is published by the process itself, so that no incarnation comes after it."""
         left = self.belief == Belief.LEFT
         return self.boot, self.birth, (1 << 62) if left else self.incarnation, self.belief
 
     @property
     def living(self) -> bool:
+        """Whether the member is believed to be alive, or is only suspected."""
         return self.belief <= Belief.SUSPECT
 
     def size(self) -> int:
-        """Bytes of the encoded record, never too few."""
+        """Returns an upper bound of the bytes of the encoded record."""
         return FIXED + len(self.name) + len(self.zone) + len(self.address) + len(self.digest.extra) + (
             9 * len(self.digest.generations))
 
     def sane(self) -> bool:
-        """Whether its fields are within their bounds, which its sender is to keep."""
-        digest = self.digest
+        """Returns whether all fields are within the bounds that senders must keep."""
+        status = self.digest
         return (_formed(self.name, self.zone, self.address) and 0 <= self.boot < 1 << 62
                 and 0 <= self.birth < 1 << 62 and 0 <= self.incarnation < 1 << 61 and 0 <= self.belief <= 3
-                and 0 <= digest.version < 1 << 62 and 0 <= digest.stage <= 4 and 0 <= digest.plan < 1 << 32
-                and 0 <= digest.pressure <= 3 and 0 <= digest.machine < 1 << 32
-                and 0 <= digest.age < 1 << 40 and len(digest.extra) <= MOST_EXTRA
-                and len(digest.generations) <= MOST_GENERATIONS
-                and all(0 <= number < 1 << 62 for number in digest.generations))
+                and 0 <= status.version < 1 << 62 and 0 <= status.stage <= 4 and 0 <= status.plan < 1 << 32
+                and 0 <= status.pressure <= 3 and 0 <= status.machine < 1 << 32
+                and 0 <= status.age < 1 << 40 and len(status.extra) <= MOST_EXTRA
+                and len(status.generations) <= MOST_GENERATIONS
+                and all(0 <= number < 1 << 62 for number in status.generations))
 
 
 @lru_cache(maxsize=4096)
 def _formed(name: str, zone: str, address: str) -> bool:
-    """Guards logs and tables against what an altered program might call itself."""
+    """Keeps names that a modified peer might send out of logs and tables."""
     return bool(NAME(name) and (not zone or NAME(zone)) and PLACE(address))
 
 
 class News(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """A record on its way, and who vouches for it: of suspicions, who saw no answer."""
+    """A record in transit and the member that reported it; for a suspicion, the member that got no answer."""
 
     record: Record
     by: str
 
 
 class View(NamedTuple):
-    """What one member holds of all, at one moment; never changed, so that it is read without a lock.
+    """An immutable snapshot of one member's records, which is read without a lock.
 
-    `fresh`: whether it has heard of the others since it last slept; `ousted`: another process has its name.
+    `fresh`: whether the view was refreshed after the last pause of the process. `ousted`: whether a later process has
+    its name.
     """
 
     at: int
@@ -132,17 +136,19 @@
     ousted: bool
 
     def living(self) -> list[Record]:
-        """All that are not known to be gone, this one among them, by name."""
-        found = [record for record in self.others.values() if record.living]
-        return sorted([*found, self.me], key=lambda record: record.name)
+        """Returns all members that are not lost or left, including this one, sorted by name."""
+        live = [record for record in self.others.values() if record.living]
+        return sorted([*live, self.me], key=lambda record: record.name)
 
 
 def merged(old: Record, new: Record) -> Record:
-    """What is held after `new` is heard: belief and digest each by their own order.
+    """Returns the record to keep: the belief with the higher precedence, and the status with the higher version.
+
+    The record of a later process replaces that of an earlier one.
 
     >>> old = Record("a", "z", "h:1", 5, 1, 2, Belief.SUSPECT, Digest(7, Stage.SERVING))
-    >>> at = merged(old, Record("a", "z", "h:1", 5, 1, 2, Belief.ALIVE, Digest(8, Stage.DRAINING)))
-    >>> at.belief == Belief.SUSPECT, at.digest.stage == Stage.DRAINING
+    >>> result = merged(old, Record("a", "z", "h:1", 5, 1, 2, Belief.ALIVE, Digest(8, Stage.DRAINING)))
+    >>> result.belief == Belief.SUSPECT, result.digest.stage == Stage.DRAINING
     (True, True)
     >>> merged(old, Record("a", "z", "h:1", 4, 9, 99, Belief.LEFT)) is old
     True
@@ -151,6 +157,6 @@
         return old
     if new.process > old.process:
         return new
-    digest = new.digest if new.digest.version > old.digest.version else old.digest
-    heavier = new if new.weight > old.weight else old
-    return heavier if heavier.digest is digest else msgspec.structs.replace(heavier, digest=digest)
+    status = new.digest if new.digest.version > old.digest.version else old.digest
+    winner = new if new.weight > old.weight else old
+    return winner if winner.digest is status else msgspec.structs.replace(winner, digest=status)
--- a/hollystage/decisions/membership/suspicion.py
+++ b/hollystage/decisions/membership/suspicion.py
@@ -1,9 +1,10 @@
-"""How long a suspect has to be heard of, and how much this process trusts itself: after Lifeguard.
+"""Suspicion timeouts and local health, as in Lifeguard.
 
-The time starts long and falls with each further member that saw no answer either: one that is slow itself
-accuses many, but hardly ever together with others. And a process whose own probes fail, or that is told it was
-suspected itself, waits longer for everything: most wrong accusations come from the accuser's own trouble
-(Dadgar, Phillips and Currey, "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018).
+The timeout of a suspicion starts long and becomes shorter with each further member that got no answer either: a
+member that is slow itself accuses many others, but rarely the same ones as other members do. A process whose own
+probes fail, or that learns it was suspected, multiplies its intervals and timeouts, because most wrong accusations
+are caused by problems of the accuser (Dadgar, Phillips and Currey, "Lifeguard: Local Health Awareness for More
+Accurate Failure Detection", 2018).
 """
 from __future__ import annotations
 
@@ -11,54 +12,59 @@
 
 
 class Suspicion:
-    """One suspect's time, in microseconds; `least` is reached at `enough` confirmations.
+    """The timeout of one suspect, in microseconds; it falls to `min_time` at `confirmations_needed` confirmations.
 
-    >>> doubt = Suspicion(0, "a", 2_000, 8_000, 3)
-    >>> doubt.until, doubt.confirm("a"), doubt.confirm("b"), doubt.until
+    >>> suspicion = Suspicion(0, "a", 2_000, 8_000, 3)
+    >>> suspicion.until, suspicion.confirm("a"), suspicion.confirm("b"), suspicion.until
     (8000, False, True, 5000)
-    >>> doubt.confirm("c"), doubt.confirm("d"), doubt.confirm("e"), doubt.until
+    >>> suspicion.confirm("c"), suspicion.confirm("d"), suspicion.confirm("e"), suspicion.until
     (True, True, False, 2000)
     """
 
     __slots__ = ("begun", "least", "most", "enough", "by")
 
-    def __init__(self, begun: int, by: str, least: int, most: int, enough: int) -> None:
-        self.begun, self.least, self.most, self.enough = begun, least, most, enough
-        self.by = [by]  # the first accuser, then those that confirmed
+    def __init__(self, started_at: int, accuser: str, min_time: int, max_time: int, confirmations: int) -> None:
+        self.begun, self.least, self.most, self.enough = started_at, min_time, max_time, confirmations
+        self.by = [accuser]  # the first accuser, then those that confirmed
 
     @property
     def until(self) -> int:
+        """The time at which the suspect is declared lost, with the confirmations so far."""
         if self.enough <= 0:
             return self.begun + self.least
         share = log(len(self.by)) / log(self.enough + 1)
         return self.begun + max(self.least, int(self.most - (self.most - self.least) * share))
 
-    def confirm(self, by: str) -> bool:
-        """Whether this accuser is a further one that counts."""
-        if by in self.by or len(self.by) > self.enough:
+    def confirm(self, accuser: str) -> bool:
+        """Adds an accuser; returns whether it is a new one that shortens the timeout."""
+        if accuser in self.by or len(self.by) > self.enough:
             return False
-        self.by.append(by)
+        self.by.append(accuser)
         return True
 
 
-def span(base: float, members: int, period: int) -> int:
-    """The least time of a suspect: grows with the logarithm of the fleet, as news of it and its own answer take
-    that many rounds.
+def span(factor: float, members: int, probe_period: int) -> int:
+    """Returns the minimum timeout of a suspicion, in microseconds.
+
+    It grows with the logarithm of the size of the fleet, as the accusation and its refutation need that many rounds
+    of gossip.
 
     >>> [span(4, n, 500_000) for n in (2, 10, 100, 1000)]
     [2000000, 2000000, 4000000, 6000000]
     """
-    return int(base * max(1.0, log10(max(1, members))) * period)
+    return int(factor * max(1.0, log10(max(1, members))) * probe_period)
 
 
 class Health:
-    """How little this process trusts itself: 0 for all is well; waits are multiplied by one more than this."""
+    """The local health score of Lifeguard: 0 is healthy; intervals and timeouts are multiplied by score + 1."""
 
-    def __init__(self, worst: int) -> None:
-        self.worst, self.score = worst, 0
+    def __init__(self, max_score: int) -> None:
+        self.worst, self.score = max_score, 0
 
     def note(self, change: int) -> None:
+        """Changes the score, within its bounds."""
         self.score = max(0, min(self.worst, self.score + change))
 
-    def stretch(self, span: int) -> int:
-        return span * (self.score + 1)
+    def stretch(self, duration: int) -> int:
+        """Returns the duration, multiplied by score + 1."""
+        return duration * (self.score + 1)
--- a/hollystage/decisions/membership/terms.py
+++ b/hollystage/decisions/membership/terms.py
@@ -1,4 +1,4 @@
-"""The times and counts that membership goes by."""
+"""Timing and limits of the membership protocol."""
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -6,19 +6,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """Times in microseconds; counts."""
+    """The parameters of the protocol; times are in microseconds."""
 
-    period: int = 500_000  # one probe each
-    timeout: int = 150_000  # for an answer, before others are asked
-    helpers: int = 3  # that are asked
-    base: float = 4.0  # periods of a suspect's least time, for ten members
-    stretch: float = 3.0  # its most over its least
-    confirmations: int = 3  # that bring it down to the least
-    spread: int = 3  # a piece of news is told so many times the logarithm of the members
-    worst: int = 8  # score of a process that trusts itself least
-    ask_lost: int = 4_000_000  # one that is held for lost, or a named address, is asked so often
-    exchange: int = 30_000_000  # between full exchanges, or a tenth of a second a member, if that is more
-    again: int = 1_000_000  # between full exchanges out of turn
-    tombstone: int = 1_800_000_000  # until one that is gone is forgotten
-    most: int = 10_000  # members of a view
-    expected: int = 0  # members that may start at once: their first exchanges are spread as `comeback.BUDGETS` says
+    period: int = 500_000  # between probes of one member each
+    timeout: int = 150_000  # for a direct probe, before helpers are asked
+    helpers: int = 3  # helpers that are asked for an indirect probe
+    base: float = 4.0  # minimum suspicion timeout in probe periods, for up to ten members
+    stretch: float = 3.0  # maximum suspicion timeout divided by the minimum
+    confirmations: int = 3  # that shorten a suspicion to its minimum
+    spread: int = 3  # an update is sent this often, times the binary logarithm of the number of members
+    worst: int = 8  # upper bound of the local health score, for the least healthy process
+    ask_lost: int = 4_000_000  # mean time between probes of lost members or configured addresses
+    exchange: int = 30_000_000  # between full syncs; 0.1 s a member if that is longer
+    again: int = 1_000_000  # between full syncs out of turn
+    tombstone: int = 1_800_000_000  # until a lost or departed member is removed
+    most: int = 10_000  # bound on the members of a view
+    expected: int = 0  # members that may start at once; their first syncs are spread by FLEET_RATES["exchange"]
