--- a/hollystage/decisions/membership/records.py
+++ b/hollystage/decisions/membership/records.py
@@ -19,7 +19,7 @@
 
 MOST_GENERATIONS, MOST_EXTRA = 8, 64  # numbers in a status; bytes of its `extra` field
 NAME = re.compile(r"[A-Za-z0-9._-]{1,64}").fullmatch
-PLACE = re.compile(r"[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}").fullmatch  # IP addresses only, so that nothing waits for DNS
+PLACE = re.compile(r"[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}").fullmatch  # no host names: no DNS lookup
 FIXED = 80  # bytes of a record without its strings: numbers of up to nine bytes and headers
 
 
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,3 +1,4 @@
+"""Tests of the HTTP parser and of the buffer pool."""
 import socket
 import threading
 import time
@@ -11,45 +12,45 @@
         b"Content-Length: 5\r\n\r\na\0\r\nb")
 
 
-def received(data, read, pieces=0, patience=1.0):
-    """What `read` makes of bytes that come in pieces of that size and then end."""
-    ours, theirs = socket.socketpair()
-    stream = Stream(ours, bytearray(SIZE))
+def parse(data, read, chunk_size=0, timeout=1.0):
+    """Returns the result of `read` on bytes that arrive in chunks of this size (0: all at once) and then end."""
+    receiver, sender = socket.socketpair()
+    stream = Stream(receiver, bytearray(SIZE))
 
     def send():
-        for at in range(0, len(data), pieces or len(data) or 1):
-            theirs.sendall(data[at:at + (pieces or len(data))])
-        theirs.shutdown(socket.SHUT_WR)
+        for start in range(0, len(data), chunk_size or len(data) or 1):
+            sender.sendall(data[start:start + (chunk_size or len(data))])
+        sender.shutdown(socket.SHUT_WR)
 
     thread = threading.Thread(target=send)
     thread.start()
     try:
-        return read(stream, time.monotonic() + patience)
+        return read(stream, time.monotonic() + timeout)
     finally:
-        ours.close()
+        receiver.close()
         thread.join()
-        theirs.close()
+        sender.close()
 
 
-@pytest.mark.parametrize("pieces", [0, 1, 7, 64])
-def test_a_request_is_read_alike_however_it_is_split(pieces):
-    request = received(GOOD, read_request, pieces)
+@pytest.mark.parametrize("chunk_size", [0, 1, 7, 64])
+def test_request_is_parsed_the_same_for_any_chunk_size(chunk_size):
+    request = parse(GOOD, read_request, chunk_size)
     assert (request.verb, request.path, request.query, request.body, request.keep) == (
         "POST", "/svc/lookup", "a=b", b"a\0\r\nb", True)
     assert request.fields["x-caller"] == "4"
 
 
-def test_requests_that_come_together_are_read_one_by_one():
-    def both(stream, until):
-        return read_request(stream, until), read_request(stream, until), stream.empty()
-    first, second, rest = received(GOOD + GOOD.replace(b"a\0\r\nb", b"other"), both)
-    assert (first.body, second.body, rest) == (b"a\0\r\nb", b"other", True)
+def test_pipelined_requests_are_parsed_one_by_one():
+    def read_both(stream, deadline):
+        return read_request(stream, deadline), read_request(stream, deadline), stream.empty()
+    first, second, empty = parse(GOOD + GOOD.replace(b"a\0\r\nb", b"other"), read_both)
+    assert (first.body, second.body, empty) == (b"a\0\r\nb", b"other", True)
 
 
 @pytest.mark.parametrize("size", [1, 30, 60, len(GOOD) - 1])
-def test_a_request_that_stops_half_way_is_broken(size):
+def test_incomplete_request_raises(size):
     with pytest.raises(Broken):
-        received(GOOD[:size], read_request)
+        parse(GOOD[:size], read_request)
 
 
 def head(*lines, first=b"POST /svc/lookup HTTP/1.1"):
@@ -84,53 +85,53 @@
     (b"A" * 40_000, 431),
     (b"\r\n" * 9000, 400),
 ])
-def test_malformed_requests_get_the_fitting_status(data, status):
-    with pytest.raises(Bad) as bad:
-        received(data, read_request)
-    assert bad.value.status == status
+def test_malformed_request_is_rejected_with_the_right_status(data, status):
+    with pytest.raises(Bad) as error:
+        parse(data, read_request)
+    assert error.value.status == status
 
 
 @pytest.mark.parametrize("lines, minor, keep", [
     ([], b"1", True), ([b"Connection: close"], b"1", False), ([b"Connection: x, Close"], b"1", False),
     ([], b"0", False), ([b"Connection: keep-alive"], b"0", True),
 ])
-def test_whether_a_connection_stays_open(lines, minor, keep):
+def test_connection_header_decides_keep_alive(lines, minor, keep):
     data = head(*lines, first=b"GET /status/live HTTP/1." + minor)
-    assert received(data, read_request).keep == keep
+    assert parse(data, read_request).keep == keep
 
 
-def test_a_sender_that_is_too_slow_is_not_waited_for():
-    ours, theirs = socket.socketpair()
-    theirs.sendall(GOOD[:20])
+def test_slow_sender_times_out():
+    receiver, sender = socket.socketpair()
+    sender.sendall(GOOD[:20])
     with pytest.raises(TimeoutError):
-        read_request(Stream(ours, bytearray(SIZE)), time.monotonic() + 0.02)
+        read_request(Stream(receiver, bytearray(SIZE)), time.monotonic() + 0.02)
 
 
-@pytest.mark.parametrize("data, found", [
+@pytest.mark.parametrize("data, expected", [
     (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n\r\n", (200, b"\r\n", True)),
     (b"HTTP/1.1 204 No Content\r\n\r\n", (204, b"", True)),
     (b"HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", (503, b"", False)),
     (write_response(500, {"A": "b"}, b"\0" * 4096, False), (500, b"\0" * 4096, False)),
 ])
-def test_responses(data, found):
-    for pieces in (0, 1):
-        response = received(data, read_response, pieces)
-        assert (response.status, response.body, response.keep) == found
+def test_response_is_parsed(data, expected):
+    for chunk_size in (0, 1):
+        response = parse(data, read_response, chunk_size)
+        assert (response.status, response.body, response.keep) == expected
 
 
-@pytest.mark.parametrize("data, fault", [
+@pytest.mark.parametrize("data, exception", [
     (b"HTTP/1.1 2x0 OK\r\n\r\n", Bad), (b"nonsense\r\n\r\n", Bad), (b"HTTP/1.1 200 OK\r\n\r\n", Bad),
     (b"HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n", Bad), (b"x" * 40_000, Bad),
     (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", Broken), (b"HTTP/1.1 200", Broken), (b"", Broken),
 ])
-def test_responses_that_cannot_be_used(data, fault):
-    with pytest.raises(fault):
-        received(data, read_response)
+def test_malformed_or_incomplete_response_raises(data, exception):
+    with pytest.raises(exception):
+        parse(data, read_response)
 
 
-def test_buffers_are_used_again():
+def test_pool_reuses_buffers():
     pool = Pool()
     first = pool.take()
-    other = pool.take()
+    second = pool.take()
     pool.give_back(first)
-    assert other is not first and pool.take() is first and len(first) == SIZE
+    assert second is not first and pool.take() is first and len(first) == SIZE
