--- a/hollystage/decisions/leases/terms.py
+++ b/hollystage/decisions/leases/terms.py
@@ -1,13 +1,13 @@
-"""How long a lease is, by whose clock, and which voters make a majority.
+"""The timing parameters of leases and the set of voters.
 
-Each clock runs between 1 - drift and 1 + drift of true time; nothing else is assumed of it. One inequality carries
-all that is lent for a time here, leases and parts of budgets alike:
+Each clock runs at a rate between 1 - drift and 1 + drift of true time; nothing else is assumed about it. One
+inequality makes everything safe that is granted for a limited time here, both leases and grants of budgets:
 
-    a holder acts for       length * (1 - drift) / (1 + drift) - margin     of its clock, from before it asked;
-    a giver gives anew      length                                          of its clock after it has answered.
+    a holder acts for                  duration * (1 - drift) / (1 + drift) - margin   of its clock, from its request;
+    a granter waits before regranting  duration                                        of its clock, from its reply.
 
-In true time the first is at most length / (1 + drift), counted from earlier, and the second at least that, counted
-from later. Times are microseconds of each process's own clock.
+In true time the first is at most duration / (1 + drift) and starts earlier; the second is at least that and starts
+later. Times are microseconds of each process's own clock.
 """
 from __future__ import annotations
 
@@ -15,7 +15,11 @@
 
 
 class Terms(NamedTuple):
-    """`length`: of a lease; `drift`: of any clock against true time; `margin`: for what is done about an end."""
+    """Timing of a lease or a grant.
+
+    `duration`: of the lease, by the granter's clock; `drift`: the greatest deviation of a clock's rate from true
+    time, as a fraction; `margin`: time that a holder needs to stop acting at the end of its lease.
+    """
 
     length: int = 5_000_000
     drift: float = 0.01
@@ -23,28 +27,30 @@
 
     @property
     def holds(self) -> int:
-        """How long a holder acts, by its clock, from before it asked."""
+        """How long a holder may act, by its own clock and counted from its request."""
         return self.lasts(self.length)
 
-    def lasts(self, left: int) -> int:
-        """What another's `left` is by our clock, counted from before we asked it.
+    def lasts(self, remaining: int) -> int:
+        """Converts the remaining time of another clock to a safe duration of this clock, counted from the request.
 
         >>> Terms(drift=0.0, margin=0).lasts(1000), Terms(drift=0.01, margin=0).lasts(1_000_000)
         (1000, 980198)
         """
-        return int(left * (1 - self.drift) / (1 + self.drift)) - self.margin
+        return int(remaining * (1 - self.drift) / (1 + self.drift)) - self.margin
 
     def surely(self, span: int) -> int:
-        """How long we wait, by our clock, for `span` of true time to have passed."""
+        """How long to wait by this clock until `span` of true time has certainly passed."""
         return int(span * (1 + self.drift)) + 1
 
 
 class Electorate(NamedTuple):
-    """Who votes. A change adds one voter or takes one away, never both: then majorities of both sets meet.
+    """The processes that vote on leases.
 
-    While the set before may still count (`before`), majorities of both are needed, and a voter answers nobody of an
-    older generation than its own, and nobody two ahead: two changes are never under way at once. What is left to
-    the operator: a further change begins only once every voter runs the last.
+    A change of the set adds one voter or removes one, never both, so that majorities of the old and the new set
+    intersect. While the previous set may still be in use (`previous` is not empty), majorities of both sets are
+    needed. A voter answers no candidate of an older generation than its own, and none of a generation more than one
+    ahead, so two changes never overlap. The operator must ensure that a further change begins only after every voter
+    runs the last one.
     """
 
     voters: tuple[str, ...]
@@ -53,26 +59,28 @@
 
     @property
     def everyone(self) -> tuple[str, ...]:
+        """The voters of both sets, each once."""
         return tuple(dict.fromkeys((*self.voters, *self.before)))
 
-    def enough(self, good: set[str]) -> bool:
-        """Whether these are majorities.
+    def enough(self, accepted_by: set[str]) -> bool:
+        """Returns whether these voters are a majority of every set that counts.
 
         >>> Electorate(("a", "b", "c", "d"), ("a", "b", "c"), 1).enough({"a", "b"})
         False
         >>> Electorate(("a", "b", "c")).enough({"a", "b"})
         True
         """
-        return all(2 * len(good.intersection(voters)) > len(voters) for voters in (self.voters, self.before) if
+        return all(2 * len(accepted_by.intersection(voters)) > len(voters) for voters in (self.voters, self.before) if
         voters)
 
-    def beyond(self, bad: set[str]) -> bool:
-        """Whether the rest are no majorities any more."""
-        return not self.enough(set(self.everyone) - bad)
+    def beyond(self, rejected_by: set[str]) -> bool:
+        """Returns whether the remaining voters can no longer form a quorum."""
+        return not self.enough(set(self.everyone) - rejected_by)
 
 
 def one_apart(before: tuple[str, ...], voters: tuple[str, ...]) -> bool:
-    """
+    """Returns whether two sets of voters differ by exactly one voter.
+
     >>> one_apart(("a", "b", "c"), ("a", "b", "c", "d")), one_apart(("a", "b"), ("a", "c"))
     (True, False)
     """
--- a/hollystage/decisions/leases/voter.py
+++ b/hollystage/decisions/leases/voter.py
@@ -1,86 +1,95 @@
-"""One voter's memory of its leases: what it promised, what it granted, and until when by its own clock.
+"""The voter side of leases: what a voter promised and granted, and until when by its own clock.
 
-A voter that starts without its memory grants nothing for the longest lease: whatever it had granted before has ended
-by then. No disk is asked.
+A voter's state is kept in memory only. A voter that starts without its state grants nothing for the longest lease
+duration; whatever it had granted before has expired by then.
 """
 from __future__ import annotations
 
 from .terms import Electorate, Terms
 from .words import Prepare, Propose, Question, Release, Reply, Who
 
-LEASES = 64  # names that a voter keeps at once; those that nobody holds go first
+LEASES = 64  # leases that a voter keeps at once; leases without a holder are evicted first
 
 
 class Voter:
-    """One lease. `floor`: below which it never grants, such as its boot number."""
+    """The state of one lease at one voter.
 
-    def __init__(self, terms: Terms, born: int, floor: int, longest: int = 0) -> None:
+    It accepts only ballots above `floor`, such as its boot number. `max_duration` is the longest duration that an
+    earlier process of this voter may have granted, where it exceeds the current one.
+    """
+
+    def __init__(self, terms: Terms, started_at: int, floor: int, max_duration: int = 0) -> None:
         self.terms = terms
-        # what an earlier process of this voter granted may still be held
-        self.silent_until = born + max(longest, terms.length)
+        # a lease granted by an earlier process of this voter may still be held
+        self.silent_until = started_at + max(max_duration, terms.length)
         self.known = floor
         self.promised: tuple[int, Who] | None = None
         self.granted: tuple[int, Who] | None = None
         self.until = 0
 
     def holder(self, now: int) -> Who | None:
+        """Returns the process whose grant has not expired, if there is one."""
         return self.granted[1] if self.granted is not None and now < self.until else None
 
-    def _reply(self, turn: int, good: bool, now: int) -> Reply:
+    def _reply(self, request_id: int, accepted: bool, now: int) -> Reply:
         holder = self.holder(now)
-        return Reply(turn, good, self.known, holder, self.until - now if holder is not None else 0)
+        return Reply(request_id, accepted, self.known, holder, self.until - now if holder is not None else 0)
 
-    def prepare(self, asked: Prepare, now: int) -> Reply:
-        """Promises to take no smaller number; one number goes to one process only.
+    def prepare(self, request: Prepare, now: int) -> Reply:
+        """Promises to accept no smaller ballot. Each ballot is promised to one process only.
 
-        While it is held nothing is promised: one that reaches no majority must not keep the holder from more.
+        While another process holds the lease nothing is promised: a candidate that reaches no majority must not
+        prevent the holder from renewing.
         """
-        if (now < self.silent_until or asked.number <= self.known
-                or self.holder(now) not in (None, asked.who)):
-            return self._reply(asked.turn, False, now)
-        self.known, self.promised = asked.number, (asked.number, asked.who)
-        return self._reply(asked.turn, True, now)
-
-    def propose(self, asked: Propose, now: int) -> Reply:
-        """Grants, or lengthens what was granted to this very process under this very number."""
-        mine = (asked.number, asked.who)
+        if (now < self.silent_until or request.number <= self.known
+                or self.holder(now) not in (None, request.who)):
+            return self._reply(request.turn, False, now)
+        self.known, self.promised = request.number, (request.number, request.who)
+        return self._reply(request.turn, True, now)
+
+    def propose(self, request: Propose, now: int) -> Reply:
+        """Grants the lease, or extends a grant to the same process under the same ballot."""
+        proposal = (request.number, request.who)
         holder = self.holder(now)
-        if (now < self.silent_until or holder not in (None, asked.who)
-                or mine not in (self.promised, self.granted) or asked.number < self.known):
-            return self._reply(asked.turn, False, now)
-        self.granted, self.until = mine, now + self.terms.length
-        return self._reply(asked.turn, True, now)
-
-    def release(self, given: Release) -> None:
-        """The holder acts no more: another need not wait."""
-        if self.granted == (given.number, given.who):
+        if (now < self.silent_until or holder not in (None, request.who)
+                or proposal not in (self.promised, self.granted) or request.number < self.known):
+            return self._reply(request.turn, False, now)
+        self.granted, self.until = proposal, now + self.terms.length
+        return self._reply(request.turn, True, now)
+
+    def release(self, request: Release) -> None:
+        """Ends a grant whose holder has stopped acting, so that the next candidate need not wait for its expiry."""
+        if self.granted == (request.number, request.who):
             self.granted, self.until = None, 0
 
 
 class Booth:
-    """A voter of all leases, by their names; what is not held is forgotten first, its number never."""
+    """The voters of all leases of one process, by lease name.
+
+    A full table evicts a lease without a holder. Its greatest ballot is kept as the lower bound of all later leases.
+    """
 
-    def __init__(self, terms: Terms, electorate: Electorate, born: int, floor: int) -> None:
-        self.terms, self.electorate, self.born, self.floor = terms, electorate, born, floor
+    def __init__(self, terms: Terms, electorate: Electorate, started_at: int, floor: int) -> None:
+        self.terms, self.electorate, self.born, self.floor = terms, electorate, started_at, floor
         self.voters: dict[str, Voter] = {}
         self.refused = 0
 
-    def asked(self, word: Question, now: int) -> Reply | None:
-        """The answer, if there is one to give."""
-        if isinstance(word, Release):
-            voter = self.voters.get(word.lease)
+    def asked(self, request: Question, now: int) -> Reply | None:
+        """Handles the request of a candidate and returns the reply, or None if there is none."""
+        if isinstance(request, Release):
+            voter = self.voters.get(request.lease)
             if voter is not None:
-                voter.release(word)
+                voter.release(request)
             return None
-        if word.generation not in (self.electorate.generation, self.electorate.generation + 1):
+        if request.generation not in (self.electorate.generation, self.electorate.generation + 1):
             self.refused += 1
-            return Reply(word.turn, False, 0, lease=word.lease)
-        voter = self._voter(word.lease, now)
+            return Reply(request.turn, False, 0, lease=request.lease)
+        voter = self._voter(request.lease, now)
         if voter is None:
             self.refused += 1
             return None
-        reply = voter.propose(word, now) if isinstance(word, Propose) else voter.prepare(word, now)
-        return Reply(reply.turn, reply.good, reply.known, reply.by, reply.left, word.lease)
+        reply = voter.propose(request, now) if isinstance(request, Propose) else voter.prepare(request, now)
+        return Reply(reply.turn, reply.good, reply.known, reply.by, reply.left, request.lease)
 
     def _voter(self, lease: str, now: int) -> Voter | None:
         voter = self.voters.get(lease)
@@ -91,9 +100,10 @@
         return voter
 
     def _forget(self, now: int) -> bool:
-        """Makes room: a lease that is not held leaves no more than the number past which the next one begins.
+        """Evicts one lease without a holder and returns whether there was one.
 
-        What it only promised counts as a grant that may yet be asked for: its round is refused then, which is safe.
+        Only its greatest ballot is kept, as the bound that the ballots of later leases must exceed. A promise without
+        a grant is evicted too: the proposal that may follow it is then rejected, which is safe.
         """
         for name, voter in self.voters.items():
             if voter.holder(now) is None and now >= voter.silent_until:
--- a/hollystage/decisions/leases/words.py
+++ b/hollystage/decisions/leases/words.py
@@ -1,4 +1,4 @@
-"""What seekers and voters say to each other. `lease`: its name; a process may seek several."""
+"""Messages between candidates and voters. `lease` is the name of the lease; a process may request several."""
 from __future__ import annotations
 
 from typing import NamedTuple
@@ -9,14 +9,14 @@
 
 
 class Who(NamedTuple):
-    """A process, not a name: one that starts anew has another birth."""
+    """Identity of one process: a process that restarts under the same name has another `birth`."""
 
     name: str
     birth: int
 
 
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag=30):
-    """Asks for the promise that no smaller number is taken. `turn`: of the asker, never used twice."""
+    """Requests the promise that no smaller ballot is accepted. The sender never reuses a `request_id`."""
 
     number: int
     who: Who
@@ -26,7 +26,7 @@
 
 
 class Propose(msgspec.Struct, frozen=True, array_like=True, tag=31):
-    """Asks for the lease itself, or for more of it."""
+    """Requests the lease itself, or its renewal."""
 
     number: int
     who: Who
@@ -36,7 +36,7 @@
 
 
 class Release(msgspec.Struct, frozen=True, array_like=True, tag=32):
-    """Its holder acts no more."""
+    """Gives the lease back; its holder has stopped acting. There is no reply."""
 
     number: int
     who: Who
@@ -44,8 +44,12 @@
 
 
 class Reply(msgspec.Struct, frozen=True, array_like=True, tag=33):
-    """`turn`: of the question, for an answer to an earlier one speaks of an earlier time; `known`: the greatest
-    number the voter has met; `by`: who holds it as far as it knows; `left`: of that grant, by the voter's clock."""
+    """Answer of a voter.
+
+    `request_id`: of the request; a reply to an earlier request counts from an earlier time and is ignored;
+    `highest_ballot`: the greatest ballot that the voter has seen; `holder`: the process that holds the lease as far
+    as the voter knows; `remaining`: time left of that grant in microseconds of the voter's clock.
+    """
 
     turn: int
     good: bool
@@ -58,11 +62,11 @@
 Question = Prepare | Propose | Release
 
 
-def sane(word: Question | Reply) -> bool:
-    """Whether its fields are within their bounds, which its sender is to keep."""
-    who = word.by if isinstance(word, Reply) else word.who
-    numbers = [word.known, word.turn, word.left] if isinstance(word, Reply) else [word.number]
-    if isinstance(word, Prepare | Propose):
-        numbers += [word.turn, word.generation]
-    return (len(word.lease) <= MOST_NAME and all(0 <= number < 1 << 62 for number in numbers)
-            and (who is None or (len(who.name) <= MOST_NAME and 0 <= who.birth < 1 << 62)))
+def sane(message: Question | Reply) -> bool:
+    """Returns whether the fields of a received message are within their bounds."""
+    process = message.by if isinstance(message, Reply) else message.who
+    numbers = [message.known, message.turn, message.left] if isinstance(message, Reply) else [message.number]
+    if isinstance(message, Prepare | Propose):
+        numbers += [message.turn, message.generation]
+    return (len(message.lease) <= MOST_NAME and all(0 <= number < 1 << 62 for number in numbers)
+            and (process is None or (len(process.name) <= MOST_NAME and 0 <= process.birth < 1 << 62)))
