--- a/hollystage/decisions/budgets/__init__.py
+++ b/hollystage/decisions/budgets/__init__.py
@@ -1,1 +1,1 @@
-"""What belongs to the whole fleet, divided among those who are there."""
+"""Budgets of the whole fleet, divided among its live processes without exceeding the total at any time."""
--- a/hollystage/decisions/budgets/terms.py
+++ b/hollystage/decisions/budgets/terms.py
@@ -1,16 +1,17 @@
-"""What a budget is, and the one inequality that all its parts keep.
+"""The definition of a budget, and the invariant that all allocations keep.
 
-    sum over all processes of   what each may use  +  what it still uses of parts that ended   <=   whole
+    sum over all processes of   units each may use  +  units in use of allocations that ended   <=   total
 
-at every instant of true time. It is kept by three sums, none of which asks a clock other than its own:
+at every instant of true time. Three sums keep it, and no process compares its clock with another's:
 
-    floors      floor * most are set aside beforehand: each process has its floor with nobody to ask
-    grants      the divider's charges  <=  whole - floor * most   (`purse`)
-    loans       a lender's own use + what it lent  <=  its part   (`holding`)
+    floors      floor * max_processes units are set aside: each process has its floor without a grant
+    grants      the allocator's charges  <=  total - floor * max_processes   (`budget_allocator`)
+    loans       a lender's own use + what it lent  <=  its allocation        (`allocation`)
 
-A charge falls only once its holder said, by a question that outdates every earlier answer, that nothing above is in
-use, or once the grant and the longest use after it have surely ended by the divider's clock: `length` from the
-answer, as in `leases.terms`, and `use` of true time after that. Counts are whole units, times microseconds.
+A charge is reduced only in two cases: the process reported, in a claim that supersedes all earlier answers, that it
+uses nothing above; or the grant and the longest use after it have certainly ended by the allocator's clock. The grant
+lasts `duration` from the answer, as in `leases.parameters`, and the longest use `max_use_duration` of true time after
+that. Counts are whole units, times are microseconds.
 """
 from __future__ import annotations
 
@@ -21,24 +22,28 @@
 
 
 class Budget(NamedTuple):
-    """`most`: processes that may be there at one time, those of a rolling deploy counted; `use`: the longest that
-    one use may last below, also after our side gave up on it; `kept`: share of what is divided for who joins."""
+    """A number of units that all processes of the fleet share.
+
+    `max_processes`: processes that may exist at one time, including the additional ones of a rolling deploy;
+    `max_use_duration`: the longest that one use may last at the dependency, also after the caller gave up on it;
+    `reserve_fraction`: fraction of the grantable units that is reserved for new processes.
+    """
 
     name: str
     whole: int
     floor: int = 1
-    most: int = 1
+    max_processes: int = 1
     use: int = 2_000_000
     kept: float = 0.05
 
     @property
     def divided(self) -> int:
-        """What is granted for a time, beside the floors."""
-        return max(0, self.whole - self.floor * self.most)
+        """Units that are granted for a limited time, beside the floors."""
+        return max(0, self.whole - self.floor * self.max_processes)
 
     @property
     def spare(self) -> int:
-        """Kept back of it, so that a newcomer need not wait for another's grant to end.
+        """Units reserved for new processes, which then need not wait for other grants to end.
 
         >>> Budget("b", 40, 1, 12).spare, Budget("b", 4, 0, 12).spare, Budget("b", 3, 0, 3, kept=0.0).spare
         (2, 1, 0)
@@ -47,10 +52,13 @@
 
 
 def after_use(budget: Budget, terms: Terms) -> int:
-    """From an answer of ours until what it granted is surely no longer in use, by our clock."""
+    """Returns the time from an answer until its grant is certainly no longer in use, by the allocator's clock."""
     return terms.length + terms.surely(budget.use)
 
 
 def floor_after(budget: Budget, terms: Terms) -> int:
-    """From a process's start until what an earlier one of its name used or lent has surely ended, by our clock."""
+    """Returns the time from a process's start until it may use its floor.
+
+    By then what an earlier process of the same name used or lent has certainly ended, by the new process's clock.
+    """
     return terms.surely(terms.length) + terms.surely(budget.use)
