--- a/hollystage/decisions/budgets/office.py
+++ b/hollystage/decisions/budgets/office.py
@@ -1,6 +1,7 @@
-"""All that one process does about budgets: it votes on who divides, may divide itself, and has its share.
+"""Everything that one process does for budgets: it votes on the allocator, may be the allocator, and claims units.
 
-The same code in the instance, in virtual time and in the explorer: words in, words out, by the names of processes.
+The instance, the simulation in virtual time and the explorer run the same code. Processes are addressed by name;
+sending the returned messages is up to the caller.
 """
 from __future__ import annotations
 
@@ -16,74 +17,83 @@
 from .words import Claim, Elsewhere, Message, Word
 
 LEASE = "budgets"
-OFFERS = 25_000  # microseconds between looks at who else has something coming
+OFFERS = 25_000  # between checks for grants to send without a claim
 
 
 class Office:
-    """`leasing`: of the lease of whoever divides; `lending`: of parts. Only voters divide."""
-
-    def __init__(self, me: Who, budgets: Iterable[Budget], lending: Terms, period: int, electorate: Electorate,
-                 leasing: Terms, seed: int, now: int, boot: int) -> None:
-        self.me, self.budgets, self.lending = me, list(budgets), lending
-        voter = me.name in electorate.everyone
-        self.booth = Booth(leasing, electorate, now, boot) if voter else None
-        self.seat = Seeker(leasing, me, electorate, seed, now, boot, LEASE) if me.name in electorate.voters else None
+    """One process as voter, candidate, allocator and claimant. Only voters become the allocator.
+
+    `lease_parameters` apply to the allocator's lease, `grant_parameters` to the grants of units.
+    """
+
+    def __init__(self, me: Who, budgets: Iterable[Budget], grant_parameters: Terms, period: int,
+                 electorate: Electorate, lease_parameters: Terms, seed: int, now: int, boot: int) -> None:
+        self.me, self.budgets, self.lending = me, list(budgets), grant_parameters
+        is_voter = me.name in electorate.everyone
+        self.booth = Booth(lease_parameters, electorate, now, boot) if is_voter else None
+        self.seat = (Seeker(lease_parameters, me, electorate, seed, now, boot, LEASE)
+                     if me.name in electorate.voters else None)
         self.divider: Divider | None = None
-        self.share = Share(self.budgets, lending, period, me.name, electorate.everyone, seed, now)
+        self.share = Share(self.budgets, grant_parameters, period, me.name, electorate.everyone, seed, now)
         self.offers_at = now
-        self.divided = 0  # times that this process became the divider
+        self.divided = 0  # times that this process became the allocator
 
     @property
     def next_at(self) -> int:
-        """No later than this a tick is due."""
-        ats = [self.share.next_at]
+        """The latest time at which the next `tick` is due."""
+        due = [self.share.next_at]
         if self.seat is not None and self.seat.wanted:
-            ats.append(self.seat.next_at)
+            due.append(self.seat.next_at)
         if self.divider is not None:
-            ats.append(self.offers_at)
-        return min(ats)
+            due.append(self.offers_at)
+        return min(due)
 
     def tick(self, peers: list[str], now: int) -> list[Message]:
-        """What is due. `peers`: the others that live, as far as is known."""
+        """Returns the messages that are due. `peers` are the other live processes, as far as is known."""
         out: list[Message] = []
         if self.seat is not None:
-            out += [Message(to, word) for to, word in self.seat.tick(now)]
+            out += [Message(voter, request) for voter, request in self.seat.tick(now)]
         self._seated(now)
         out += self.share.tick(peers, now)
         if self.divider is not None and now >= self.offers_at:
             out += self._offers(self.divider, now)
         return self._at_home(out, now)
 
-    def heard(self, sender: Who, word: Word | Question | Reply, now: int) -> list[Message]:
-        return self._at_home(self._taken(sender, word, now), now)
+    def heard(self, sender: Who, message: Word | Question | Reply, now: int) -> list[Message]:
+        """Handles a message and returns the messages that follow from it."""
+        return self._at_home(self._taken(sender, message, now), now)
 
     def leave(self, now: int) -> list[Message]:
-        """Gives back what others can do; its part it needs to the end."""
+        """Gives the lease back before the process ends. The units are kept, they are needed to the end."""
         if self.seat is None:
             return []
         self.seat.wanted = False
-        out = [Message(to, word) for to, word in self.seat.tick(now)]
+        out = [Message(voter, request) for voter, request in self.seat.tick(now)]
         self._seated(now)
         return self._at_home(out, now)
 
-    def _taken(self, sender: Who, word: Word | Question | Reply, now: int) -> list[Message]:
-        match word:
+    def _taken(self, sender: Who, message: Word | Question | Reply, now: int) -> list[Message]:
+        match message:
             case Prepare() | Propose() | Release():
-                reply = self.booth.asked(word, now) if self.booth is not None and word.who == sender else None
+                reply = self.booth.asked(message, now) if self.booth is not None and message.who == sender else None
                 return [Message(sender.name, reply)] if reply is not None else []
             case Reply():
-                if self.seat is None or word.lease != LEASE:
+                if self.seat is None or message.lease != LEASE:
                     return []
-                out = [Message(to, question) for to, question in self.seat.heard(sender.name, word, now)]
+                out = [Message(voter, request) for voter, request in self.seat.heard(sender.name, message, now)]
                 self._seated(now)
                 return out
             case Claim():
-                return self._claimed(sender, word, now)
+                return self._claimed(sender, message, now)
             case _:
-                return self.share.heard(sender.name, word, now)
+                return self.share.heard(sender.name, message, now)
 
     def _seated(self, now: int) -> None:
-        """Whether this process divides now. A lease that is held again under its number was nobody else's."""
+        """Makes this process the allocator, or ends that, as the lease requires.
+
+        A lease that is acquired again under the same ballot was held by no other process in between, so the allocator
+        keeps its accounts.
+        """
         held = self.seat is not None and self.seat.held(now)
         if self.seat is None or not held:
             self.divider = None
@@ -94,21 +104,21 @@
     def _claimed(self, sender: Who, claim: Claim, now: int) -> list[Message]:
         self._seated(now)
         if self.divider is not None and self.seat is not None and self.seat.may_act(now, 0):
-            parts = self.divider.claimed((sender.name, sender.birth), claim, now)
-            return [Message(sender.name, parts)] if parts is not None else []
+            grants = self.divider.claimed((sender.name, sender.birth), claim, now)
+            return [Message(sender.name, grants)] if grants is not None else []
         holder = None
         if self.booth is not None and LEASE in self.booth.voters:
             holder = self.booth.voters[LEASE].holder(now)
         return [Message(sender.name, Elsewhere(claim.turn, holder.name if holder is not None else ""))]
 
-    def _offers(self, divider: Divider, now: int) -> list[Message]:
+    def _offers(self, allocator: Divider, now: int) -> list[Message]:
         self.offers_at = now + OFFERS
         if self.seat is None or not self.seat.may_act(now, 0):
             return []
-        return [Message(who[0], parts) for who, parts in divider.offers(now)]
+        return [Message(process[0], grants) for process, grants in allocator.offers(now)]
 
     def _at_home(self, messages: list[Message], now: int) -> list[Message]:
-        """What this process says to itself is heard at once."""
+        """Delivers the messages to this process at once, and returns the others."""
         out: list[Message] = []
         while messages:
             message = messages.pop(0)
@@ -119,9 +129,10 @@
         return out
 
     def figures(self, now: int) -> dict[str, float]:
-        share, found = self.share, {"budget.divides": float(self.divider is not None)}
-        for name, holding in share.holdings.items():
-            found |= {f"budget.{name}.part": holding.own(now), f"budget.{name}.usable": holding.usable(now),
-                      f"budget.{name}.using": holding.using}
-        found |= {f"budget.{what}": count for what, count in share.counts.items()}
+        """Returns the gauges of the budgets, by metric name."""
+        claimant, found = self.share, {"budget.divides": float(self.divider is not None)}
+        for name, allocation in claimant.holdings.items():
+            found |= {f"budget.{name}.part": allocation.own(now), f"budget.{name}.usable": allocation.usable(now),
+                      f"budget.{name}.using": allocation.using}
+        found |= {f"budget.{event}": count for event, count in claimant.counts.items()}
         return found | (self.divider.figures(now) if self.divider is not None else {})
--- a/hollystage/decisions/budgets/purse.py
+++ b/hollystage/decisions/budgets/purse.py
@@ -90,7 +90,7 @@
         return account.given + row.floor
 
     def _first(self, account: Account) -> int:
-        """Returns the units for a new process, granted at once out of the reserve. Its next claims get a fair share."""
+        """Returns the units for a new process, granted out of the reserve. Its next claims get a fair share."""
         return max(account.charge, min(max(1, account.need), max(1, self.budget.spare)))
 
     def _divide(self, now: int) -> None:
--- a/hollystage/decisions/budgets/words.py
+++ b/hollystage/decisions/budgets/words.py
@@ -1,6 +1,6 @@
-"""What a process and the divider say to each other of their parts, and two processes directly.
+"""Messages between a process and the allocator, and between two processes directly.
 
-One question speaks of all budgets, so that its cost does not grow with their number.
+One claim covers all budgets, so that its cost does not grow with their number.
 """
 from __future__ import annotations
 
@@ -14,10 +14,13 @@
 
 
 class Row(msgspec.Struct, frozen=True, array_like=True):
-    """One budget, as its asker has it now. `held`: the most that it may use from here on without a further answer,
-    what it uses still and what it lent among it; `own`: its part now, without what it only uses still or borrowed;
-    `floor`: what of that is its own with nobody's leave; `need`: what it could use now; `weight`: criticality of
-    what waits."""
+    """One budget in a claim, in units.
+
+    `committed`: the most that the process may use from now on without a further answer, including what it still
+    uses and what it lent; `own`: its current grant or floor, without units that it only still uses or has borrowed;
+    `floor`: the part of `own` that needs no grant; `need`: what it could use now; `weight`: criticality of the work
+    that waits.
+    """
 
     name: str
     held: int
@@ -29,8 +32,11 @@
 
 
 class Claim(msgspec.Struct, frozen=True, array_like=True, tag=40):
-    """`turn`: never used twice by a process; whoever asks anew takes no answer to an earlier turn any more.
-    `epoch`: the divider's number as far as the asker knows, 0 for none."""
+    """Requests units of all budgets.
+
+    `request_id`: never reused by a process; after a new claim the process accepts no answer to an earlier one.
+    `epoch`: ballot of the allocator's lease as far as the claimant knows, 0 for none.
+    """
 
     turn: int
     epoch: int
@@ -38,12 +44,14 @@
 
 
 class Piece(msgspec.Struct, frozen=True, array_like=True):
+    """The units of one budget that a process may use, including its floor."""
+
     name: str
     part: int
 
 
 class Parts(msgspec.Struct, frozen=True, array_like=True, tag=41):
-    """The answer, or a later one to the same turn: more that came free, or less than the asker has."""
+    """The answer to a claim, or a later message for the same claim with more units or fewer."""
 
     turn: int
     epoch: int
@@ -51,20 +59,22 @@
 
 
 class Elsewhere(msgspec.Struct, frozen=True, array_like=True, tag=42):
-    """Somebody else divides, as far as the sender knows; nobody where the name is empty."""
+    """Names the allocator, as far as the sender knows; the name is empty if there is none."""
 
     turn: int
-    name: str
+    allocator: str
 
 
 class Borrow(msgspec.Struct, frozen=True, array_like=True, tag=43):
+    """Requests a loan of units from a peer."""
+
     turn: int
     name: str
     units: int
 
 
 class Loan(msgspec.Struct, frozen=True, array_like=True, tag=44):
-    """`left`: by the lender's clock, when it answered."""
+    """Lends units. `remaining` is its duration in microseconds of the lender's clock, from when the loan was sent."""
 
     turn: int
     name: str
@@ -76,28 +86,29 @@
 
 
 class Message(NamedTuple):
-    """What one process sends to another, by its name."""
+    """A message to send, with the name of the process that it is for."""
 
     to: str
     word: Word | Question | Reply
 
 
-def sane(word: Word) -> bool:
-    """Whether its fields are within their bounds, which its sender is to keep."""
-    if not 0 <= word.turn < 1 << 62:
+def sane(message: Word) -> bool:
+    """Returns whether the fields of a received message are within their bounds."""
+    if not 0 <= message.turn < 1 << 62:
         return False
-    match word:
+    match message:
         case Claim():
-            return len(word.rows) <= MOST_ROWS and 0 <= word.epoch < 1 << 62 and all(
+            return len(message.rows) <= MOST_ROWS and 0 <= message.epoch < 1 << 62 and all(
                 len(row.name) <= MOST_NAME and 0 <= row.weight < 1e9 and all(
                     0 <= units <= MOST_UNITS for units in (row.held, row.own, row.floor, row.using, row.need))
-                for row in word.rows)
+                for row in message.rows)
         case Parts():
-            return len(word.rows) <= MOST_ROWS and 0 <= word.epoch < 1 << 62 and all(
-                len(piece.name) <= MOST_NAME and 0 <= piece.part <= MOST_UNITS for piece in word.rows)
+            return len(message.rows) <= MOST_ROWS and 0 <= message.epoch < 1 << 62 and all(
+                len(grant.name) <= MOST_NAME and 0 <= grant.part <= MOST_UNITS for grant in message.rows)
         case Elsewhere():
-            return len(word.name) <= 64
+            return len(message.allocator) <= 64
         case Borrow():
-            return len(word.name) <= MOST_NAME and 0 <= word.units <= MOST_UNITS
+            return len(message.name) <= MOST_NAME and 0 <= message.units <= MOST_UNITS
         case Loan():
-            return len(word.name) <= MOST_NAME and 0 <= word.units <= MOST_UNITS and 0 <= word.left < 1 << 50
+            return (len(message.name) <= MOST_NAME and 0 <= message.units <= MOST_UNITS
+                    and 0 <= message.left < 1 << 50)
