--- a/hollystage/decisions/budgets/terms.py
+++ b/hollystage/decisions/budgets/terms.py
@@ -9,9 +9,9 @@
     loans       a lender's own use + what it lent  <=  its allocation        (`allocation`)
 
 A charge is reduced only in two cases: the process reported, in a claim that supersedes all earlier answers, that no
-unit above the new charge is in use; or the grant and the longest use after it have certainly ended by the allocator's
-clock. The grant lasts `duration` from the answer, as in `leases.parameters`, and the longest use `max_use_duration` of
-true time after that. Counts are whole units, times are microseconds.
+unit above the new charge is in use; or the grant and the longest use after it have certainly ended by the clock of
+the allocator. The grant lasts `duration` from the answer, as in `leases.parameters`, and the longest use lasts
+`max_use_duration` of true time after that. Counts are whole units, times are microseconds.
 """
 from __future__ import annotations
 
