--- a/hollystage/decisions/budgets/purse.py
+++ b/hollystage/decisions/budgets/purse.py
@@ -24,7 +24,7 @@
     its last claim, -1 before the first.
     """
 
-    __slots__ = ("turn", "charge", "given", "floor", "until", "need", "weight", "asked_at")
+    __slots__ = ("request_id", "charge", "granted", "floor", "expires_at", "need", "weight", "requested_at")
 
     def __init__(self) -> None:
         self.turn, self.charge, self.given, self.floor, self.until = -1, 0, 0, 0, 0
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -177,7 +177,7 @@
 
     def heard(self, voter, reply, now):
         before = self.ends
-        out = super().heard(voter, reply, now)
+        out = super().receive(voter, reply, now)
         if self.ends != before and self.ends:
             self.ends = now + self.terms.holds
         return out
@@ -188,7 +188,7 @@
 
     def heard(self, voter, reply, now):
         before = self.ends
-        out = super().heard(voter, reply, now)
+        out = super().receive(voter, reply, now)
         if self.ends != before and self.ends:
             self.ends = self.asked_at + self.terms.length
         return out
@@ -212,7 +212,7 @@
     """Counts a reply to an earlier request for the current one."""
 
     def heard(self, voter, reply, now):
-        return super().heard(voter, replace(reply, turn=self.turn), now)
+        return super().receive(voter, replace(reply, request_id=self.turn), now)
 
 
 class Clinging(Seeker):
@@ -233,20 +233,20 @@
 class Forgetful(Voter):
     """Forgets a grant at the next request."""
 
-    def propose(self, asked, now):
+    def propose(self, request, now):
         self.granted = None
-        return super().propose(asked, now)
+        return super().propose(request, now)
 
-    def prepare(self, asked, now):
+    def prepare(self, request, now):
         self.granted = None
-        return super().prepare(asked, now)
+        return super().prepare(request, now)
 
 
 class Early(Voter):
     """Lets a grant expire too early."""
 
-    def propose(self, asked, now):
-        reply = super().propose(asked, now)
+    def propose(self, request, now):
+        reply = super().propose(request, now)
         if reply.good:
             self.until -= self.terms.length // 2
         return reply
@@ -255,9 +255,9 @@
 class SameNumber(Voter):
     """Promises one ballot to several candidates."""
 
-    def prepare(self, asked, now):
-        self.known = min(self.known, asked.number - 1)
-        return super().prepare(asked, now)
+    def prepare(self, request, now):
+        self.known = min(self.known, request.number - 1)
+        return super().prepare(request, now)
 
 
 @pytest.mark.parametrize("kind", [Hasty, NoDrift, Half, AnyTurn, Clinging, Loud, Forgetful, Early, SameNumber])
