--- a/hollystage/fleet/__init__.py
+++ b/hollystage/fleet/__init__.py
@@ -1,5 +1,5 @@
-"""Talk between instances: one datagram socket, one bounded stream, the views that come of it.
+"""Communication between instances: a datagram socket, length-framed streams, and the membership view built from them.
 
-Nothing here is imported unless the plan's `fleet` section names an address to bind. What is decided stands in
-`hollystage/decisions`; here are sockets, threads and bytes.
+Nothing in this package is imported unless the `fleet` section of the plan names an address to bind. The package
+holds sockets, threads and encodings; the decisions are in `hollystage/decisions`.
 """
--- a/hollystage/fleet/agent.py
+++ b/hollystage/fleet/agent.py
@@ -1,7 +1,8 @@
-"""This process among the others: the threads that talk, and the view that everybody else reads.
+"""The fleet agent of one process: its sockets and threads, and the membership view that other code reads.
 
-The view is replaced whole: who serves an RPC reads it and takes no lock of this package. All that is decided goes
-through `Members` and `Doors`, under one lock that no RPC knows; nothing under it waits for a socket.
+`Agent.view` is replaced as a whole, so threads that serve RPCs read it without a lock. `Members` and `ReplayGuard`
+make all decisions under `Agent.lock`. No thread that serves RPCs takes this lock, and no code that holds it blocks on
+a socket.
 """
 from __future__ import annotations
 
@@ -24,22 +25,28 @@
 from .codec import DATAGRAM, FRAME, Challenge, Codec, Envelope, Fetch, Guest, Lent, Refused, Show, Shown, Word
 from .links import STREAM_S, Cut, Frames, Links
 
-AT_ONCE = 64  # datagrams that are taken before what is due is looked at
-LOOK = 50_000  # microseconds between looks at what this process is to say of itself, and at new timers
-TURN = 600_000_000  # a door's life
-KEPT, STREAMS = 64, 4  # datagrams that may yet be sent again behind another door; streams at once
-AGAIN_S = 1.0  # between tries to bind the address
-PROVOKED = 200.0  # challenges a second, at the most
-EVER = 1 << 62
+AT_ONCE = 64  # datagrams processed before due work is checked
+LOOK = 50_000  # between updates of the published status; upper bound of the wait for timers set by other threads
+TURN = 600_000_000  # after this time the process takes a new session number
+KEPT, STREAMS = 64, 4  # datagrams kept for a resend under another session number; concurrent inbound streams
+AGAIN_S = 1.0  # between attempts to bind the address
+PROVOKED = 200.0  # bounds the replies that replayed datagrams can provoke
+EVER = 1 << 62  # a time that is never reached
 BAD = {"suspect", "lost", "twin", "ousted", "alone", "raised", "slept", "accused"}
 
 
 class Tally(Protocol):
+    """Increments named counters."""
+
     def add(self, name: str, amount: int = 1) -> None: ...
 
 
 class Tenant(Protocol):
-    """Who talks over the same sockets beside membership. Called under the agent's lock: nothing in it waits."""
+    """Handles the messages that share the agent's sockets with membership: those of leases and budgets.
+
+    All methods are called under `Agent.lock` and must not block. The lists hold pairs of an address and a message to
+    send to it. `next_at` is the time when `tick` is due, in microseconds.
+    """
 
     next_at: int
 
@@ -51,37 +58,40 @@
 
 
 class Agent:
-    """`digest` tells what this process says of itself; it is asked often and must not wait. `keep` is given a
-    boot number that had to be raised, before others hear of it twice."""
-
-    def __init__(self, name: str, zone: str, bind: str, advertise: str, named: list[str], key: bytes, cluster: str,
-                 terms: Terms, seed: int, boot: int, digest: Callable[[], Digest], keep: Callable[[int], None],
-                 clock: Callable[[], int], counters: Tally, log: Any) -> None:
-        self.links, self.codec, self.clock, self.digest = Links(bind), Codec(key, cluster), clock, digest
-        self.keep, self.boot = keep, boot
+    """Exchanges membership, lease and budget messages with the other instances. Times are microseconds of `clock`.
+
+    `read_status` returns what this process publishes about itself; it is called often and must not block.
+    `save_boot` stores a boot number that had to be raised, before the number is announced a second time.
+    """
+
+    def __init__(self, name: str, zone: str, bind: str, advertise: str, configured_peers: list[str], key: bytes,
+                 cluster: str, parameters: Terms, seed: int, boot: int, read_status: Callable[[], Digest],
+                 save_boot: Callable[[int], None], clock: Callable[[], int], counters: Tally, log: Any) -> None:
+        self.links, self.codec, self.clock, self.digest = Links(bind), Codec(key, cluster), clock, read_status
+        self.keep, self.boot = save_boot, boot
         self.counters, self.log, self.bind = counters, log, bind
         now = clock()
         me = Record(name, zone, advertise, boot, secrets.randbits(62))
-        self.members = Members(me, named, terms, seed, now)
+        self.members = Members(me, configured_peers, parameters, seed, now)
         self.doors, self.turned_at = Doors(1 + secrets.randbits(60)), now
         self.lock = threading.Lock()
         self.view: View = self.members.view(now)
-        self.tenant: Tenant | None = None  # where the plan has budgets
-        self.lenders: dict[str, Callable[[], bytes]] = {}  # of what others may fetch
-        self.out: list[tuple[str, bytes]] = []  # made under the lock, sent outside of it
-        self.sent: OrderedDict[int, tuple[str, Word, list[News]]] = OrderedDict()
+        self.tenant: Tenant | None = None  # set if the plan has budgets
+        self.lenders: dict[str, Callable[[], bytes]] = {}  # functions that supply what peers may fetch, by name
+        self.out: list[tuple[str, bytes]] = []  # filled under the lock, sent without it
+        self.sent: OrderedDict[int, tuple[str, Word, list[News]]] = OrderedDict()  # by envelope counter, for resends
         self.meets: Queue[str] = Queue(8)
         self.streams = threading.BoundedSemaphore(STREAMS)
         self.provoked = Allowance(PROVOKED, now)
-        # other threads set timers too: one that waits longer than this would look like a stall
-        self.look = min(LOOK, terms.timeout // 4)
+        # other threads set timers too: a longer wait for them would be taken for a stall of the process
+        self.look = min(LOOK, parameters.timeout // 4)
         self.looked_at = now - LOOK
         self.opened, self.stopped = threading.Event(), False
 
-    # The threads
+    # Threads
 
     def talk_forever(self) -> None:
-        """Datagrams in, what is due, datagrams out."""
+        """Receives datagrams, does the work that is due and sends datagrams, until the agent is stopped."""
         self._open()
         with self.lock:
             self.members.begin(self.clock())
@@ -89,21 +99,22 @@
             next_at = min(self.members.next_at, self.tenant.next_at if self.tenant is not None else EVER)
             data = self.links.receive(max(0.0, min(next_at - self.clock(), self.look)) / 1e6)
             with self.lock:
-                now, taken = self.clock(), 0
+                now, processed = self.clock(), 0
                 while data is not None:
                     self._take(data, now)
-                    taken += 1
-                    data = self.links.receive(0) if taken < AT_ONCE else None
+                    processed += 1
+                    data = self.links.receive(0) if processed < AT_ONCE else None
                 self._due(now)
-                ready = self._ready(now)
+                outgoing = self._ready(now)
             if self.members.me.boot != self.boot:
                 self.boot = self.members.me.boot
                 self.keep(self.boot)
-            self._send(ready)
+            self._send(outgoing)
         if self.opened.is_set():
             self.links.datagrams.close()
 
     def listen_forever(self) -> None:
+        """Accepts streams and serves each in its own thread; closes those beyond `MAX_STREAMS` at once."""
         self.opened.wait()
         while not self.stopped:
             try:
@@ -120,28 +131,31 @@
             threading.Thread(target=self._guarded, args=(stream,), daemon=True).start()
 
     def meet_forever(self) -> None:
+        """Runs the full syncs that the membership module requests, one after the other."""
         self.opened.wait()
         while not self.stopped:
             with suppress(Empty):
                 self._meet(self.meets.get(timeout=1.0))
 
     def leave(self) -> None:
-        """The last word to the others."""
+        """Announces to the peers that this process leaves the fleet."""
         with self.lock:
             if self.tenant is not None:
                 self._post(self.tenant.leave(self.members))
             self.members.leave(self.clock())
-            ready = self._ready(self.clock())
+            outgoing = self._ready(self.clock())
         if self.opened.is_set():
-            self._send(ready)
+            self._send(outgoing)
 
     def stop(self) -> None:
+        """Ends the threads and closes the listener."""
         self.stopped = True
         if self.opened.is_set():
             self.links.hang_up()
         self.opened.set()
 
     def figures(self) -> dict[str, float]:
+        """Gauges and counters of membership and of the message handler."""
         with self.lock:
             members = self.members
             return {"fleet.living": len(members.living), "fleet.suspects": len(members.suspects),
@@ -152,15 +166,16 @@
     # Datagrams
 
     def _open(self) -> None:
-        told = False
+        """Opens the sockets; retries until that succeeds or the agent is stopped, and logs the first failure only."""
+        reported = False
         while not self.stopped:
             try:
                 self.links.open()
-            except OSError as bad:
-                if not told:
-                    self.log.error("fleet.bind cannot be used; serving goes on without peers, it is tried again",
-                                   bind=self.bind, why=bad.strerror)
-                told = True
+            except OSError as error:
+                if not reported:
+                    self.log.error("cannot bind the address fleet.bind; serving without peers, retrying",
+                                   bind=self.bind, why=error.strerror)
+                reported = True
                 self.counters.add("fleet.not_bound")
                 time.sleep(AGAIN_S)
                 continue
@@ -170,7 +185,10 @@
             return
 
     def _take(self, data: bytes, now: int) -> None:
-        """Whatever it is, it is counted; only what is whole, keyed and of this moment has another effect."""
+        """Counts a datagram and handles it if it is well-formed, authentic and not replayed.
+
+        A datagram that names another session of this process is answered with a challenge, at a bounded rate.
+        """
         envelope, verdict = self._judged(data, DATAGRAM)
         if envelope is None:
             return
@@ -181,33 +199,37 @@
             return
         match envelope.word:
             case Challenge():
-                again = self.sent.pop(envelope.word.count, None)
-                if again is not None:
-                    self.doors.learn(again[0], envelope.door)
-                    self.out.append((again[0], self._pack(*again)))
+                rejected = self.sent.pop(envelope.word.count, None)
+                if rejected is not None:
+                    self.doors.learn(rejected[0], envelope.door)
+                    self.out.append((rejected[0], self._pack(*rejected)))
             case Opening() | Answer() | Rest() | Show() | Shown() | Fetch() | Lent():
                 self.counters.add("fleet.refused.misplaced")
             case Ping() | Ack() | Ask() | Nack():
                 self.members.heard(envelope.me, envelope.word, envelope.news, now)
-            case word if self.tenant is not None:
-                self._post(self.tenant.heard(envelope.me, word))
+            case message if self.tenant is not None:
+                self._post(self.tenant.heard(envelope.me, message))
             case _:
                 self.counters.add("fleet.refused.misplaced")
 
-    def _post(self, words: list[tuple[str, Guest]]) -> None:
-        """What a tenant says, on its way; kept for a while, should the other side's door be another."""
-        for address, word in words:
-            self._sent(address, word, [])
+    def _post(self, messages: list[tuple[str, Guest]]) -> None:
+        """Enqueues the messages of the message handler, which carry no gossip."""
+        for address, message in messages:
+            self._sent(address, message, [])
 
-    def _sent(self, address: str, word: Word, news: list[News]) -> None:
-        self.out.append((address, self._pack(address, word, news)))
-        self.sent[self.doors.count] = address, word, news
+    def _sent(self, address: str, message: Word, updates: list[News]) -> None:
+        """Enqueues a datagram and keeps it for a while: the receiver may answer that its session is another."""
+        self.out.append((address, self._pack(address, message, updates)))
+        self.sent[self.doors.count] = address, message, updates
         if len(self.sent) > KEPT:
             self.sent.popitem(last=False)
 
-    def _judged(self, data: bytes, most: int) -> tuple[Envelope | None, Verdict | None]:
-        """Under the lock. No envelope where the bytes are none; believed only where the verdict is good."""
-        envelope = self.codec.unpack(data, most)
+    def _judged(self, data: bytes, max_size: int) -> tuple[Envelope | None, Verdict | None]:
+        """Decodes and verifies received bytes. Called under the lock.
+
+        The envelope is None if the bytes cannot be decoded; its content may be used only if the verdict is GOOD.
+        """
+        envelope = self.codec.unpack(data, max_size)
         if isinstance(envelope, Refused):
             self.counters.add(f"fleet.refused.{envelope.value}")
             return None, None
@@ -219,11 +241,13 @@
             self.counters.add(f"fleet.refused.{verdict.value}")
         return envelope, verdict
 
-    def _pack(self, address: str, word: Word, news: list[News], to: int | None = None) -> bytes:
-        return self.codec.pack(Envelope(self.doors.door, self.doors.toward(address) if to is None else to,
-                                        self.doors.next(), self.members.me, word, news))
+    def _pack(self, address: str, message: Word, updates: list[News], receiver_session: int | None = None) -> bytes:
+        return self.codec.pack(Envelope(
+            self.doors.door, self.doors.toward(address) if receiver_session is None else receiver_session,
+            self.doors.next(), self.members.me, message, updates))
 
     def _due(self, now: int) -> None:
+        """Does the work that is due: the published status, the session number, and all timers."""
         if now - self.looked_at >= LOOK:
             self.looked_at = now
             self.members.say(self.digest(), now)
@@ -236,7 +260,10 @@
             self._post(self.tenant.tick(self.members))
 
     def _ready(self, now: int) -> list[tuple[str, bytes]]:
-        """Under the lock: what is to be sent outside of it. Events and the view go out here."""
+        """Takes the datagrams to be sent after the lock is released. Called under the lock.
+
+        Also queues requested syncs, publishes a changed view and logs events.
+        """
         for action in self.members.take():
             if isinstance(action, Meet):
                 with suppress(Full):
@@ -247,20 +274,22 @@
             self.view = self.members.view(now)
         for event in self.members.happened():
             self.tell(event)
-        ready, self.out = self.out, []
-        return ready
+        outgoing, self.out = self.out, []
+        return outgoing
 
     def tell(self, event: Event) -> None:
-        level = self.log.warning if event.what in BAD else self.log.info
-        level(f"peer {event.what}", who=event.who, **({"detail": event.detail} if event.detail else {}))
+        """Writes a membership event to the log."""
+        log = self.log.warning if event.what in BAD else self.log.info
+        log(f"peer {event.what}", who=event.who, **({"detail": event.detail} if event.detail else {}))
 
-    def _send(self, ready: list[tuple[str, bytes]]) -> None:
-        for address, data in ready:
+    def _send(self, outgoing: list[tuple[str, bytes]]) -> None:
+        for address, data in outgoing:
             self.counters.add("fleet.out" if self.links.send(address, data) else "fleet.not_sent")
 
     # Streams
 
     def _guarded(self, stream: Frames) -> None:
+        """Serves an inbound stream, closes it and frees its slot."""
         try:
             self._serve(stream)
         except (Cut, OSError):
@@ -270,64 +299,66 @@
             self.streams.release()
 
     def _serve(self, stream: Frames) -> None:
+        """Answers the one request of an inbound stream."""
         envelope = self._frame(stream, True)
         if envelope is None:
             return
         match envelope.word:
             case Opening():
                 with self.lock:
-                    answer = self.members.answering(envelope.word, self.clock())
-                self._reply(stream, envelope, answer)
-                rest = self._frame(stream, False)
-                if rest is not None and isinstance(rest.word, Rest):
+                    response = self.members.answering(envelope.word, self.clock())
+                self._reply(stream, envelope, response)
+                push = self._frame(stream, False)
+                if push is not None and isinstance(push.word, Rest):
                     with self.lock:
-                        self.members.rested(rest.word, self.clock())
-                        ready = self._ready(self.clock())
-                    self._send(ready)
+                        self.members.rested(push.word, self.clock())
+                        outgoing = self._ready(self.clock())
+                    self._send(outgoing)
                     self.counters.add("fleet.exchanges")
             case Show():
                 self._reply(stream, envelope, Shown(self.shown(envelope.word.what)))
             case Fetch():
-                lend = self.lenders.get(envelope.word.what)
-                self._reply(stream, envelope, Lent(lend() if lend is not None else b""))
+                provider = self.lenders.get(envelope.word.what)
+                self._reply(stream, envelope, Lent(provider() if provider is not None else b""))
             case _:
                 self.counters.add("fleet.refused.misplaced")
 
     def _meet(self, address: str) -> None:
-        """A full exchange with whoever is there; counted if none came about."""
+        """Runs a full sync with the process at the address; a failed one is reported to membership."""
         try:
             stream = self.links.connect(address)
         except (OSError, OverflowError):
             stream = None
-        done = False
+        succeeded = False
         if stream is not None:
             try:
-                done = self._exchange(stream, address)
+                succeeded = self._exchange(stream, address)
             except (Cut, OSError):
                 self.counters.add("fleet.streams_cut")
             finally:
                 stream.close()
         with self.lock:
-            if not done:
+            if not succeeded:
                 self.members.missed(address, self.clock())
-            ready = self._ready(self.clock())
-        self._send(ready)
+            outgoing = self._ready(self.clock())
+        self._send(outgoing)
 
     def _exchange(self, stream: Frames, address: str) -> bool:
+        """Whether the peer answered the sync request; if so, its records are merged and ours are sent to it."""
         reply = self._asked(stream, address, self.members.opening)
         if reply is None or not isinstance(reply.word, Answer):
             return False
         with self.lock:
-            rest = self.members.answered(reply.word, self.clock())
-            data = self._pack(address, rest, [], reply.door)
+            push = self.members.answered(reply.word, self.clock())
+            data = self._pack(address, push, [], reply.door)
         stream.send(data)
         return True
 
-    def _asked(self, stream: Frames, address: str, word: Callable[[], Word]) -> Envelope | None:
-        """The other side's answer; the first try may name the wrong door, and is told the right one."""
+    def _asked(self, stream: Frames, address: str, make_message: Callable[[], Word]) -> Envelope | None:
+        """The peer's reply. If the first attempt names a wrong session, the peer's challenge gives the right one."""
         for _ in range(2):
             with self.lock:
-                data = self._pack(address, word(), [])
+                data = self._pack(address, make_message(), [])
             stream.send(data)
             reply = self._frame(stream, False)
             if reply is None or not isinstance(reply.word, Challenge):
@@ -336,14 +367,14 @@
                 self.doors.learn(address, reply.door)
         return None
 
-    def request(self, address: str, word: Word) -> Word | None:
-        """One question to one peer, by the thread that needs the answer; None where none comes in time."""
+    def request(self, address: str, message: Word) -> Word | None:
+        """Sends one request to a peer and returns its reply, None if there is none in time. Blocks the caller."""
         try:
             stream = self.links.connect(address)
         except (OSError, OverflowError):
             return None
         try:
-            reply = self._asked(stream, address, lambda: word)
+            reply = self._asked(stream, address, lambda: message)
             return reply.word if reply is not None else None
         except (Cut, OSError):
             self.counters.add("fleet.streams_cut")
@@ -352,7 +383,10 @@
             stream.close()
 
     def _frame(self, stream: Frames, challenge: bool) -> Envelope | None:
-        """The next frame; with `challenge` one that names no door of ours is told it, and has one more try."""
+        """The next valid envelope of a stream, or None.
+
+        With `challenge`, a sender that names another session is answered with a challenge and may send once more.
+        """
         while True:
             data = stream.read(FRAME)
             with self.lock:
@@ -364,20 +398,20 @@
             self._reply(stream, envelope, Challenge(envelope.count))
             challenge = False
 
-    def _reply(self, stream: Frames, asked: Envelope, word: Word) -> None:
+    def _reply(self, stream: Frames, request: Envelope, message: Word) -> None:
         with self.lock:
-            data = self._pack("", word, [], asked.door)
+            data = self._pack("", message, [], request.door)
         stream.send(data)
 
-    def shown(self, what: str) -> bytes:
-        """What this process holds, for an operator; JSON."""
+    def shown(self, name: str) -> bytes:
+        """The table of that name as JSON, for an operator."""
         view, now = self.view, self.clock()
-        if what != "members":
+        if name != "members":
             with self.lock:
-                table = self.tenant.shown(what) if self.tenant is not None else None
+                table = self.tenant.shown(name) if self.tenant is not None else None
             if table is not None:
                 return msgspec.json.encode(table)
-            return msgspec.json.encode({"fault": f"no table is called {what!r}"})
+            return msgspec.json.encode({"fault": f"there is no table {name!r}"})
         rows = [{"name": record.name, "zone": record.zone, "address": record.address, "boot": record.boot,
                  "incarnation": record.incarnation, "belief": Belief(record.belief).name.lower(),
                  "stage": Stage(record.digest.stage).name.lower(), "plan": f"{record.digest.plan:08x}",
--- a/hollystage/fleet/ask.py
+++ b/hollystage/fleet/ask.py
@@ -1,4 +1,4 @@
-"""An operator's question to a running instance, by the fleet's key."""
+"""Client for an operator's requests to a running instance, authenticated with the fleet key."""
 from __future__ import annotations
 
 import secrets
@@ -9,38 +9,39 @@
 from .codec import FRAME, Challenge, Codec, Envelope, Refused, Show, Shown
 from .links import STREAM_S, Cut, Frames, address_of
 
-ASKER = "-"  # no member is called so
+ASKER = "-"  # never the name of a member
 
 
 class NoAnswer(Exception):
-    """Nobody answered, or not with our key; the message says which."""
+    """There was no valid reply; the message gives the reason."""
 
 
-def ask(address: str, key: bytes, cluster: str, what: str, request: bytes = b"") -> bytes:
-    """
+def ask(address: str, key: bytes, cluster: str, table: str, request: bytes = b"") -> bytes:
+    """Requests a table of the instance at `address` (host:port) and returns it as JSON.
+
     Raises:
-        NoAnswer: nobody is there, or it does not know our key or our cluster.
+        QueryError: nothing can be reached there, or it has another key or cluster name.
     """
-    codec, birth, door = Codec(key, cluster), secrets.randbits(62), 1 + secrets.randbits(60)
-    me = Record(ASKER, "", "0.0.0.0:0", 0, birth)
+    codec, birth, session = Codec(key, cluster), secrets.randbits(62), 1 + secrets.randbits(60)
+    sender = Record(ASKER, "", "0.0.0.0:0", 0, birth)
     try:
         stream = Frames(socket.create_connection(address_of(address), 2.0), time.monotonic() + STREAM_S)
-    except (OSError, ValueError, OverflowError) as bad:
-        raise NoAnswer(f"nobody answers ({bad})") from bad
-    to = 0
+    except (OSError, ValueError, OverflowError) as error:
+        raise NoAnswer(f"cannot connect ({error})") from error
+    receiver_session = 0
     try:
-        for count in (1, 2):  # the first names no door, and is told it
-            stream.send(codec.pack(Envelope(door, to, count, me, Show(what, request))))
+        for counter in (1, 2):  # the first request names no session; the challenge gives the one for the second
+            stream.send(codec.pack(Envelope(session, receiver_session, counter, sender, Show(table, request))))
             reply = codec.unpack(stream.read(FRAME), FRAME)
-            if isinstance(reply, Refused) or reply.to != door:
-                raise NoAnswer("an answer that cannot be believed")
+            if isinstance(reply, Refused) or reply.to != session:
+                raise NoAnswer("the reply is not authentic")
             if isinstance(reply.word, Shown):
                 return reply.word.body
             if not isinstance(reply.word, Challenge):
                 break
-            to = reply.door
-    except (Cut, OSError) as bad:
-        raise NoAnswer("it ends the connection: another key, another cluster, or no instance") from bad
+            receiver_session = reply.door
+    except (Cut, OSError) as error:
+        raise NoAnswer("the connection ended: another key, another cluster, or not an instance") from error
     finally:
         stream.close()
-    raise NoAnswer("it gives no answer")
+    raise NoAnswer("the instance sent no table")
--- a/hollystage/fleet/codec.py
+++ b/hollystage/fleet/codec.py
@@ -1,9 +1,9 @@
-"""Datagrams and frames as bytes: a head, a keyed hash over all that follows, the words in msgpack.
+"""Encoding of datagrams and frames: a header with a keyed hash, followed by the envelope in MessagePack.
 
-    magic 2 | version 1 | cluster 4 | hash 16 | envelope
+    magic 2 | version 1 | cluster 4 | hash 16 | envelope      (sizes in bytes)
 
-The hash is keyed by the key file and the cluster's name (blake3), so that a stranger's or an altered datagram is
-dropped before anything is read of it. Whether it is of this moment is for `decisions/doors`.
+The hash is blake3 of the encoded envelope, keyed with the key file and the cluster name. Forged or altered data is
+therefore dropped before any of it is decoded. Replays are detected in `decisions/membership/replay`.
 """
 from __future__ import annotations
 
@@ -21,50 +21,54 @@
 MAGIC, VERSION = b"hy", 1
 HASH = 16
 HEAD = len(MAGIC) + 1 + 4 + HASH
-DATAGRAM = 1_200  # bytes: fits into one packet of any usual network, tunnels included
+DATAGRAM = 1_200  # fits into one packet of any common network, including tunnels
 FRAME = 4 << 20
 CONTEXT = "hollystage fleet 2026-12 "
 
 
 class Challenge(msgspec.Struct, frozen=True, array_like=True, tag=20):
-    """What came under `count` names no door of this process; the envelope tells the door."""
+    """Reply to the envelope `counter`, which named another session; the envelope of the reply gives the right one."""
 
     count: int
 
 
 class Show(msgspec.Struct, frozen=True, array_like=True, tag=21):
-    """An operator asks for what this process holds, or for something to be done; `what` is the table."""
+    """An operator's request to show something, or to do something; `table` names it."""
 
     what: str = "members"
     request: bytes = b""
 
 
 class Shown(msgspec.Struct, frozen=True, array_like=True, tag=22):
-    """`body` is JSON, for the command line alone."""
+    """Reply to a `TableRequest`; `body` is JSON that only the command line reads."""
 
     body: bytes
 
 
 class Fetch(msgspec.Struct, frozen=True, array_like=True, tag=23):
-    """Asks for what the receiver holds of something, by its name."""
+    """Request for the data that the receiver provides under a name."""
 
     what: str
 
 
 class Lent(msgspec.Struct, frozen=True, array_like=True, tag=24):
-    """What was asked for, in a form of its own; empty where there is nothing."""
+    """Reply to a `FetchRequest`: the data in an encoding of its own, empty if there is none."""
 
     body: bytes
 
 
-# what is not of membership: for whoever the plan puts there
+# messages for the agent's message handler, which exists only if the plan has budgets
 Guest = (leases.Prepare | leases.Propose | leases.Release | leases.Reply
          | budgets.Claim | budgets.Parts | budgets.Elsewhere | budgets.Borrow | budgets.Loan)
 Word = Ping | Ack | Ask | Nack | Opening | Answer | Rest | Challenge | Show | Shown | Fetch | Lent | Guest
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
-    """`door` is the sender's, `to` the receiver's as the sender knows it; `count` grows with each envelope."""
+    """A message with what is needed to authenticate its sender and to detect replays.
+
+    `session` is that of the sender, `receiver_session` that of the receiver as far as the sender knows it, or 0.
+    `counter` grows with each envelope of the sender. `updates` are membership gossip.
+    """
 
     door: int
     to: int
@@ -74,31 +78,32 @@
     news: list[News] = []
 
     def sane(self) -> bool:
+        """Whether all fields are within their bounds."""
         return (0 <= self.count < 1 << 62 and self.me.sane() and all(
-            piece.record.sane() and len(piece.by) <= 64 for piece in self.news) and _sane(self.word))
+            update.record.sane() and len(update.by) <= 64 for update in self.news) and _sane(self.word))
 
 
-def _sane(word: Word) -> bool:
-    match word:
+def _sane(message: Word) -> bool:
+    match message:
         case Opening():
-            return len(word.sums) <= 256
+            return len(message.sums) <= 256
         case Answer():
-            return len(word.shelves) <= 256 and all(record.sane() for record in word.records)
+            return len(message.shelves) <= 256 and all(record.sane() for record in message.records)
         case Rest():
-            return all(record.sane() for record in word.records)
+            return all(record.sane() for record in message.records)
         case Ping() | Ask():
-            return len(word.name) <= 64 and 0 <= word.seq < 1 << 62
+            return len(message.name) <= 64 and 0 <= message.seq < 1 << 62
         case Ack():
-            return len(word.of) <= 64 and 0 <= word.seq < 1 << 62
+            return len(message.of) <= 64 and 0 <= message.seq < 1 << 62
         case leases.Prepare() | leases.Propose() | leases.Release() | leases.Reply():
-            return leases.sane(word)
+            return leases.sane(message)
         case budgets.Claim() | budgets.Parts() | budgets.Elsewhere() | budgets.Borrow() | budgets.Loan():
-            return budgets.sane(word)
+            return budgets.sane(message)
     return True
 
 
 class Refused(Enum):
-    """Why bytes are no envelope; counted, nothing else comes of them."""
+    """Why received bytes are not an envelope of this cluster; they are counted and otherwise ignored."""
 
     FOREIGN = "foreign"
     VERSION = "version"
@@ -109,6 +114,8 @@
 
 
 class Codec:
+    """Encodes, authenticates and decodes the envelopes of one cluster."""
+
     def __init__(self, key: bytes, cluster: str) -> None:
         self.key = blake3(key, derive_key_context=CONTEXT + cluster).digest()
         self.head = MAGIC + bytes([VERSION]) + blake3(cluster.encode()).digest()[:4]
@@ -116,11 +123,13 @@
         self.decoder = msgspec.msgpack.Decoder(Envelope)
 
     def pack(self, envelope: Envelope) -> bytes:
+        """The envelope with its header."""
         body = self.encoder.encode(envelope)
         return self.head + blake3(body, key=self.key).digest(length=HASH) + body
 
-    def unpack(self, data: bytes, most: int = DATAGRAM) -> Envelope | Refused:
-        if len(data) > most:
+    def unpack(self, data: bytes, max_size: int = DATAGRAM) -> Envelope | Refused:
+        """The envelope, or why the bytes are not one. `max_size` is in bytes and includes the header."""
+        if len(data) > max_size:
             return Refused.OVERSIZED
         if data[:2] != MAGIC or len(data) < HEAD:
             return Refused.FOREIGN
--- a/hollystage/fleet/treasury.py
+++ b/hollystage/fleet/treasury.py
@@ -1,6 +1,7 @@
-"""The budgets' talk: names brought to addresses, and what is decided brought to whoever goes by it, without a lock.
+"""Connects the budget decisions with the agent: addresses for process names, and limits that are read without a lock.
 
-The driver reads `steps` and replaces `uses`, both whole; the agent's thread does the rest under the agent's lock.
+The driver reads `steps` and replaces `uses`, each as a whole and without a lock. Everything else is called by the
+agent under `Agent.lock`.
 """
 from __future__ import annotations
 
@@ -16,11 +17,15 @@
 from ..decisions.membership.records import Record
 from .codec import Guest
 
-LOOK = 20_000  # microseconds between looks at what is used
+LOOK = 20_000  # between reports of what is in use
 
 
 class Treasury:
-    """`clock` is read anew for each word: an answer under a lease that ended a moment ago must not go out."""
+    """Handles the lease and budget messages of this process.
+
+    `steps` gives the units that may be used, by budget and over time; `uses` what the decision module uses of them.
+    `clock` (microseconds) is read for each message: an answer under a lease that has just ended must not be sent.
+    """
 
     def __init__(self, office: Office, clock: Callable[[], int]) -> None:
         self.office, self.clock = office, clock
@@ -31,41 +36,46 @@
         self._publish(clock())
 
     def heard(self, sender: Record, word: Guest) -> list[tuple[str, Guest]]:
+        """Handles a message; returns messages to be sent, with their addresses."""
         now = self.clock()
         self.addresses[sender.name] = sender.address
         self._look()
-        out = self.office.heard(Who(sender.name, sender.birth), word, now)
+        outgoing = self.office.heard(Who(sender.name, sender.birth), word, now)
         self._publish(now)
-        return self._addressed(out)
+        return self._addressed(outgoing)
 
     def tick(self, members: Members) -> list[tuple[str, Guest]]:
+        """Does the work that is due; returns messages to be sent, with their addresses."""
         now = self.clock()
         if now < self.next_at:
             return []
         self._look()
         self.office.share.barred(members.ousted)
         self.addresses = {name: record.address for name, record in members.records.items()}
-        out = self.office.tick(members.living, now)
+        outgoing = self.office.tick(members.living, now)
         self._publish(now)
         self.next_at = min(now + LOOK, max(now + 1_000, self.office.next_at))
-        return self._addressed(out)
+        return self._addressed(outgoing)
 
     def leave(self, members: Members) -> list[tuple[str, Guest]]:
+        """Releases the allocator's lease; units stay in use until the process ends. Returns messages to be sent."""
         self.addresses = {name: record.address for name, record in members.records.items()}
         return self._addressed(self.office.leave(self.clock()))
 
     def _look(self) -> None:
-        for name, use in self.uses.items():
-            self.office.share.used(name, use)
+        for name, usage in self.uses.items():
+            self.office.share.used(name, usage)
 
     def _publish(self, now: int) -> None:
         self.steps = {name: holding.steps(now) for name, holding in self.office.share.holdings.items()}
 
     def _addressed(self, messages: list[Message]) -> list[tuple[str, Guest]]:
-        """Who is not known yet is not written to: it is asked again."""
-        return [(self.addresses[to], word) for to, word in messages if to in self.addresses]
+        """Replaces names by addresses; drops messages to processes of unknown address, which are repeated later."""
+        return [(self.addresses[recipient], payload) for recipient, payload in messages
+                if recipient in self.addresses]
 
     def shown(self, what: str) -> dict[str, Any] | None:
+        """The table `budgets` or, on a voter, `leases`, for an operator; None for any other name."""
         now, office = self.clock(), self.office
         if what == "budgets":
             return {"me": office.me.name, "divider": office.share.divider, "epoch": office.share.epoch,
@@ -84,4 +94,5 @@
         return None
 
     def figures(self) -> dict[str, float]:
+        """Gauges of all budgets."""
         return self.office.figures(self.clock())
