--- a/hollystage/store/__init__.py
+++ b/hollystage/store/__init__.py
@@ -1,4 +1,4 @@
-"""What outlives the process: files that are whole or not there, checked, and owned by one process at a time.
+"""State that survives a restart: files that are written atomically, checked by hash and owned by one process.
 
-Nothing here is imported unless the plan's `state` section names a folder.
+Nothing in this package is imported unless the `state` section of the plan names a folder.
 """
--- a/hollystage/store/boots.py
+++ b/hollystage/store/boots.py
@@ -1,7 +1,7 @@
-"""Boot numbers: each start of an instance has a greater one, whatever its clock says.
+"""Boot numbers: each start of an instance gets a greater number than the one before, even if the clock was set back.
 
-Written before it is used. Where nothing can be kept the clock alone speaks, and peers who remember a greater one
-make the process raise its own (`decisions/membership`).
+A number is stored before it is used. Without a store it comes from the clock alone; if peers remember a greater
+number under the same name, the process raises its own (`decisions/membership`).
 """
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 
 def next_boot(folder: Folder | None, clock_ms: int, log: Any) -> int:
-    """The greatest of the clock and what is stored plus one."""
+    """The clock or the stored number plus one, whichever is greater; stored if there is a folder.
+
+    A failing store is logged only, and does not prevent the start.
+    """
     boot = max(1, clock_ms)
     if folder is None:
         return boot
@@ -21,14 +24,15 @@
         stored = folder.read("boot", FORM)
         if stored is not None and stored.isdigit() and len(stored) <= 18:
             boot = max(boot, int(stored) + 1)
-    except Unusable as bad:
-        log.warning("the stored boot number is not believed", why=str(bad))
+    except Unusable as error:
+        log.warning("stored boot number ignored", why=str(error))
     keep(folder, boot, log)
     return boot
 
 
 def keep(folder: Folder, boot: int, log: Any) -> None:
+    """Stores the boot number; a failure is logged only."""
     try:
         folder.write("boot", FORM, str(boot).encode())
-    except Unusable as bad:
-        log.warning("the boot number is not kept", why=str(bad))
+    except Unusable as error:
+        log.warning("boot number not stored", why=str(error))
--- a/hollystage/store/folder.py
+++ b/hollystage/store/folder.py
@@ -1,8 +1,8 @@
-"""The folder of one instance's state: who holds it, and files that are written whole or not at all.
+"""The state folder of one instance: locked by one process, with files that are replaced atomically.
 
-Each file has a head line, its kind, form and owner, and a hash of all that follows. It is written beside the old
-one, synced and renamed: a kill at any moment leaves the old one or the new one. What cannot be believed is told in
-one line and left alone, except that a later write takes its place.
+Each file begins with a header line: kind, format version, owner, and a hash of these and the body. A file is written
+under another name, synced and renamed, so that a kill at any moment leaves either the old file or the new one. A file
+that fails a check is reported in one line and left as it is until the next write replaces it.
 """
 from __future__ import annotations
 
@@ -18,64 +18,67 @@
 
 
 class Unusable(Exception):
-    """A file or folder that cannot be believed or used; the message says why, in one line."""
+    """A state file or folder cannot be trusted or used; the message gives the reason in one line."""
 
 
 class Folder:
-    """Held by one process; the lock goes with it."""
+    """The state folder of the instance `name`. One process holds its lock, which the kernel releases when it ends."""
 
     def __init__(self, path: str, name: str) -> None:
-        """
+        """Creates the folder if it does not exist, and locks it.
+
         Raises:
-            Unusable: it cannot be made or opened, or another process holds it.
+            StateError: the folder cannot be created or opened, or another process has locked it.
         """
         self.path, self.name = path, name
         try:
             os.makedirs(path, mode=0o700, exist_ok=True)
             self.lock = os.open(os.path.join(path, "lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        except OSError as bad:
-            raise Unusable(f"state.path: {path} cannot be used: {bad.strerror}") from bad
+        except OSError as error:
+            raise Unusable(f"state.path: {path} cannot be used: {error.strerror}") from error
         try:
             fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except OSError as bad:
+        except OSError as error:
             holder = os.pread(self.lock, 200, 0).decode("ascii", "replace").strip() or "another process"
             os.close(self.lock)
-            raise Unusable(f"state.path: {path} is held by {holder}") from bad
-        with contextlib.suppress(OSError):  # on a full disk the lock holds all the same
+            raise Unusable(f"state.path: {path} is locked by {holder}") from error
+        with contextlib.suppress(OSError):  # the lock is valid even if a full disk prevents writing its owner
             os.ftruncate(self.lock, 0)
             os.pwrite(self.lock, f"{name}, process {os.getpid()}\n".encode(), 0)
 
-    def write(self, kind: str, form: int, body: bytes) -> None:
-        """
+    def write(self, kind: str, version: int, body: bytes) -> None:
+        """Replaces the file of this kind; `version` is that of the body's format.
+
         Raises:
-            Unusable: the disk is full, read-only or failing; the old file is as it was.
+            StateError: the disk is full, read-only or failing; the previous file is unchanged.
         """
         path = os.path.join(self.path, kind)
         data = b"hollystage-state %s %d %s %s\n" % (
-            kind.encode(), form, self.name.encode(), _hash(kind, form, self.name, body)) + body
+            kind.encode(), version, self.name.encode(), _hash(kind, version, self.name, body)) + body
         try:
-            number = os.open(path + ".new", os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+            file = os.open(path + ".new", os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
             try:
                 view = memoryview(data)
                 while view:
-                    view = view[os.write(number, view):]
-                os.fsync(number)
+                    view = view[os.write(file, view):]
+                os.fsync(file)
             finally:
-                os.close(number)
+                os.close(file)
             os.rename(path + ".new", path)
             folder = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
             try:
                 os.fsync(folder)
             finally:
                 os.close(folder)
-        except OSError as bad:
-            raise Unusable(f"state.path: {path} cannot be written: {bad.strerror}") from bad
+        except OSError as error:
+            raise Unusable(f"state.path: {path} cannot be written: {error.strerror}") from error
 
-    def read(self, kind: str, form: int) -> bytes | None:
-        """The body; None where there is no such file.
+    def read(self, kind: str, version: int) -> bytes | None:
+        """The body of the file of this kind, None if there is no file. `version` is the newest readable format.
 
         Raises:
-            Unusable: cut short, spoilt, of another instance or of a newer version.
+            StateError: the file cannot be read, is truncated or corrupt, is of a newer format, or belongs to another
+                instance.
         """
         path = os.path.join(self.path, kind)
         try:
@@ -83,25 +86,26 @@
                 data = file.read(LARGEST + 1)
         except FileNotFoundError:
             return None
-        except OSError as bad:
-            raise Unusable(f"state: {path} cannot be read: {bad.strerror}") from bad
+        except OSError as error:
+            raise Unusable(f"state: {path} cannot be read: {error.strerror}") from error
         if not data:
             raise Unusable(f"state: {path} is empty")
-        head = HEAD.match(data)
-        if head is None or head[1] != kind.encode() or len(data) > LARGEST:
-            raise Unusable(f"state: {path} is no state of this program")
-        if int(head[2]) > form:
-            raise Unusable(f"state: {path} is of form {int(head[2])}, this version reads up to {form}")
-        body, owner = data[head.end():], head[3].decode()
-        if head[4] != _hash(kind, int(head[2]), owner, body):
-            raise Unusable(f"state: {path} is cut short or spoilt")
+        header = HEAD.match(data)
+        if header is None or header[1] != kind.encode() or len(data) > LARGEST:
+            raise Unusable(f"state: {path} is not a state file of this program")
+        if int(header[2]) > version:
+            raise Unusable(f"state: {path} is of format {int(header[2])}, this version reads up to {version}")
+        body, owner = data[header.end():], header[3].decode()
+        if header[4] != _hash(kind, int(header[2]), owner, body):
+            raise Unusable(f"state: {path} is truncated or corrupt")
         if owner != self.name:
-            raise Unusable(f"state: {path} is that of {owner}")
+            raise Unusable(f"state: {path} belongs to {owner}")
         return body
 
     def close(self) -> None:
+        """Releases the lock."""
         os.close(self.lock)
 
 
-def _hash(kind: str, form: int, name: str, body: bytes) -> bytes:
-    return blake3(f"{kind} {form} {name}\n".encode() + body).hexdigest(length=16).encode()
+def _hash(kind: str, version: int, name: str, body: bytes) -> bytes:
+    return blake3(f"{kind} {version} {name}\n".encode() + body).hexdigest(length=16).encode()
--- a/hollystage/store/memory.py
+++ b/hollystage/store/memory.py
@@ -1,37 +1,42 @@
-"""What a folder keeps, without a disk: for programs that embed an instance and keep its state themselves, and for
-tests. It keeps the folder's contract, which `tests/test_contracts.py` runs for both."""
+"""A store without a disk, for tests and for programs that embed an instance and save its state themselves.
+
+It keeps the same contract as `StateFolder`; `tests/test_contracts.py` checks both.
+"""
 from __future__ import annotations
 
 from .folder import LARGEST, Unusable
 
 
 class Memory:
-    """Ends with its process, or lives as long as whoever embeds the instance holds it."""
+    """State of the instance `name` in memory, by kind. It lives as long as the embedding program keeps it."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.kept: dict[str, tuple[int, bytes]] = {}
 
-    def write(self, kind: str, form: int, body: bytes) -> None:
-        """
+    def write(self, kind: str, version: int, body: bytes) -> None:
+        """Replaces the body of this kind; `version` is that of its format.
+
         Raises:
-            Unusable: it is larger than any state.
+            StateError: the body is larger than a state file may be.
         """
         if len(body) > LARGEST:
             raise Unusable(f"state: {kind} is larger than {LARGEST} bytes")
-        self.kept[kind] = form, bytes(body)
+        self.kept[kind] = version, bytes(body)
+
+    def read(self, kind: str, version: int) -> bytes | None:
+        """The body of this kind, None if there is none. `version` is the newest readable format.
 
-    def read(self, kind: str, form: int) -> bytes | None:
-        """
         Raises:
-            Unusable: of a newer version.
+            StateError: the body is of a newer format.
         """
         found = self.kept.get(kind)
         if found is None:
             return None
-        if found[0] > form:
-            raise Unusable(f"state: {kind} is of form {found[0]}, this version reads up to {form}")
+        if found[0] > version:
+            raise Unusable(f"state: {kind} is of format {found[0]}, this version reads up to {version}")
         return found[1]
 
     def close(self) -> None:
+        """Does nothing: there is no lock to release."""
         pass
--- a/hollystage/store/snapshot.py
+++ b/hollystage/store/snapshot.py
@@ -1,4 +1,4 @@
-"""What an instance learned, as a file: whole or not there, checked, and told apart by owner, form and age."""
+"""The snapshot file: the statistics that an instance learned, for use after a restart."""
 from __future__ import annotations
 
 import msgspec
@@ -10,7 +10,11 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """`written_ms`: Unix time; `instances`: that lived then; `generations`: numbers that never fall, by name."""
+    """The content of a snapshot file.
+
+    `written_ms`: Unix time in milliseconds; `instances`: how many were alive at that time; `generations`: numbers
+    that never decrease, by name.
+    """
 
     written_ms: int
     boot: int
@@ -20,10 +24,10 @@
 
 
 def write(folder: Folder, snapshot: Snapshot) -> int:
-    """Returns the size in bytes.
+    """Replaces the stored snapshot and returns its size in bytes.
 
     Raises:
-        Unusable: it could not be written; the one before is as it was.
+        StateError: it could not be written; the previous snapshot is unchanged.
     """
     body = msgspec.msgpack.encode(snapshot)
     folder.write("snapshot", FORM, body)
@@ -31,18 +35,22 @@
 
 
 def read(folder: Folder, now_ms: int) -> tuple[Snapshot | None, float | None, str]:
-    """The snapshot, its age in seconds (None where the clock cannot tell), and what is to be told of it."""
+    """The snapshot, its age in seconds, and a warning to be logged.
+
+    The snapshot is None if there is none or it cannot be used. The age is None if the snapshot is from the future of
+    the clock. The warning is empty if all is well.
+    """
     try:
         body = folder.read("snapshot", FORM)
-    except Unusable as bad:
-        return None, None, f"{bad}; begins as if nothing had been learned"
+    except Unusable as error:
+        return None, None, f"{error}; begins as if nothing had been learned"
     if body is None:
         return None, None, ""
     try:
         found = msgspec.msgpack.decode(body, type=Snapshot)
-    except msgspec.DecodeError as bad:
-        return None, None, f"state: the snapshot cannot be read: {bad}; begins as if nothing had been learned"
-    old = age(found.written_ms, now_ms)
-    if old is None:
-        return found, None, "state: the snapshot is from a later time than the clock's: what it learned is not used"
-    return found, old, ""
+    except msgspec.DecodeError as error:
+        return None, None, f"state: the snapshot cannot be read: {error}; begins as if nothing had been learned"
+    age_s = age(found.written_ms, now_ms)
+    if age_s is None:
+        return found, None, "state: the snapshot was written later than the clock's time; its statistics are not used"
+    return found, age_s, ""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The talk between instances on real sockets: what is believed of bytes, agents on loopback, and that it is off."""
+"""Fleet communication on real sockets: encoding, authentication, agents on loopback, an instance and its store."""
 import json
 import os
 import random
@@ -34,7 +34,7 @@
 from hollystage.store.folder import Folder, Unusable
 
 KEY = bytes(range(32))
-QUICK = Terms(period=100_000, timeout=40_000, ask_lost=300_000, again=100_000)
+FAST = Terms(period=100_000, timeout=40_000, ask_lost=300_000, again=100_000)
 LOG = structlog.get_logger()
 
 
@@ -42,107 +42,110 @@
     return msgspec.structs.replace(Record(name, "z", "127.0.0.1:7000", 5, 77), **changes)
 
 
-def free(host):
+def unused_address(host):
     with socket.create_server((host, 0)) as sock:
         return f"{host}:{sock.getsockname()[1]}"
 
 
-def agent(name, address, named, boot=None):
-    kept = []
-    made = Agent(name, "z", address, address, named, KEY, "test", QUICK, 1, boot or clock() // 1000,
-                 lambda: Digest(stage=Stage.SERVING), kept.append, clock, Counters(), LOG)
-    made.kept = kept
-    return made
+def make_agent(name, address, configured_peers, boot=None):
+    saved_boots = []
+    agent = Agent(name, "z", address, address, configured_peers, KEY, "test", FAST, 1, boot or clock() // 1000,
+                  lambda: Digest(stage=Stage.SERVING), saved_boots.append, clock, Counters(), LOG)
+    agent.saved_boots = saved_boots
+    return agent
 
 
 def start(*agents):
     import threading
-    for one in agents:
-        for task in (one.talk_forever, one.listen_forever, one.meet_forever):
+    for agent in agents:
+        for task in (agent.talk_forever, agent.listen_forever, agent.meet_forever):
             threading.Thread(target=task, daemon=True).start()
     return agents
 
 
-def knows(one, *others):
-    return sorted(record.name for record in one.view.living()) == sorted([one.view.me.name, *others])
+def sees(agent, *others):
+    """Whether the agent's view of living members is exactly itself and the others."""
+    return sorted(record.name for record in agent.view.living()) == sorted([agent.view.me.name, *others])
 
 
 @pytest.fixture
-def three():
-    addresses = [free(f"127.0.7.{n}") for n in (1, 2, 3)]
-    agents = start(*(agent(f"a{n}", address, addresses[:1]) for n, address in enumerate(addresses)))
-    until(lambda: all(len(one.view.living()) == 3 for one in agents))
+def agents():
+    addresses = [unused_address(f"127.0.7.{n}") for n in (1, 2, 3)]
+    agents = start(*(make_agent(f"a{n}", address, addresses[:1]) for n, address in enumerate(addresses)))
+    until(lambda: all(len(agent.view.living()) == 3 for agent in agents))
     yield agents
-    for one in agents:
-        one.stop()
+    for agent in agents:
+        agent.stop()
 
 
-# Bytes
+# Encoding
 
-WHO = leases.Who("b", 7)
-WORDS = [leases.Prepare(1, WHO, 2, "x", 3), leases.Propose(1, WHO, 2, "x"), leases.Release(1, WHO, "x"),
-         leases.Reply(1, True, 5, WHO, 9, "x"), leases.Reply(1, False, 5),
-         budgets.Claim(1, 2, [budgets.Row("calls", 5, 4, 1, 3, 6, 1.5)]),
-         budgets.Parts(1, 2, [budgets.Piece("calls", 4)]), budgets.Elsewhere(1, "b"), budgets.Borrow(1, "calls", 2),
-         budgets.Loan(1, "calls", 2, 500), Ping(1, "b"), Ack(2, "b"), Ask(3, "b", "127.0.0.1:1"), Nack(4),
-         Challenge(5), Opening([1] * 64),
-         Answer([1], [record("c")]), Rest([record("c")])]
+PROCESS = leases.Who("b", 7)
+MESSAGES = [
+    leases.Prepare(1, PROCESS, 2, "x", 3), leases.Propose(1, PROCESS, 2, "x"), leases.Release(1, PROCESS, "x"),
+    leases.Reply(1, True, 5, PROCESS, 9, "x"), leases.Reply(1, False, 5),
+    budgets.Claim(1, 2, [budgets.Row("calls", 5, 4, 1, 3, 6, 1.5)]),
+    budgets.Parts(1, 2, [budgets.Piece("calls", 4)]), budgets.Elsewhere(1, "b"), budgets.Borrow(1, "calls", 2),
+    budgets.Loan(1, "calls", 2, 500), Ping(1, "b"), Ack(2, "b"), Ask(3, "b", "127.0.0.1:1"), Nack(4),
+    Challenge(5), Opening([1] * 64),
+    Answer([1], [record("c")]), Rest([record("c")])]
 
 
-@pytest.mark.parametrize("word", WORDS)
-def test_what_is_packed_comes_out_and_no_byte_may_change(word):
+@pytest.mark.parametrize("message", MESSAGES)
+def test_round_trip_and_rejection_of_altered_or_truncated_data(message):
     codec = Codec(KEY, "test")
-    data = codec.pack(Envelope(1, 2, 3, record(), word, [News(record("c"), "d")]))
-    assert codec.unpack(data) == Envelope(1, 2, 3, record(), word, [News(record("c"), "d")])
+    data = codec.pack(Envelope(1, 2, 3, record(), message, [News(record("c"), "d")]))
+    assert codec.unpack(data) == Envelope(1, 2, 3, record(), message, [News(record("c"), "d")])
     for at in range(len(data)):
         assert isinstance(codec.unpack(data[:at] + bytes([data[at] ^ 1]) + data[at + 1:]), Refused)
         assert isinstance(codec.unpack(data[:at]), Refused)
 
 
-def test_strangers_are_told_apart():
+def test_foreign_data_is_rejected_with_its_reason():
     data = Codec(KEY, "test").pack(Envelope(1, 2, 3, record(), Ping(1)))
     assert Codec(KEY[::-1], "test").unpack(data) is Refused.FORGED
     assert Codec(KEY, "other").unpack(data) is Refused.CLUSTER
     assert Codec(KEY, "test").unpack(b"hy\x02" + data[3:]) is Refused.VERSION
     assert Codec(KEY, "test").unpack(b"GET / HTTP/1.1") is Refused.FOREIGN
     assert Codec(KEY, "test").unpack(data + bytes(DATAGRAM)) is Refused.OVERSIZED
-    insane = Codec(KEY, "test").pack(Envelope(1, 2, 3, record(name="a b"), Ping(1)))
-    assert Codec(KEY, "test").unpack(insane) is Refused.GARBAGE
+    invalid_name = Codec(KEY, "test").pack(Envelope(1, 2, 3, record(name="a b"), Ping(1)))
+    assert Codec(KEY, "test").unpack(invalid_name) is Refused.GARBAGE
 
 
-def test_what_is_out_of_bounds_is_garbage():
+def test_fields_out_of_bounds_are_rejected():
     codec = Codec(KEY, "test")
-    for word in (leases.Prepare(-1, WHO, 2), budgets.Claim(1, 2, [budgets.Row("calls", -5, 4, 1, 3, 6, 1.5)]),
-                 budgets.Loan(1, "calls", 2, -1)):
-        assert codec.unpack(codec.pack(Envelope(1, 2, 3, record(), word))) is Refused.GARBAGE
+    for message in (leases.Prepare(-1, PROCESS, 2), budgets.Claim(1, 2, [budgets.Row("calls", -5, 4, 1, 3, 6, 1.5)]),
+                    budgets.Loan(1, "calls", 2, -1)):
+        assert codec.unpack(codec.pack(Envelope(1, 2, 3, record(), message))) is Refused.GARBAGE
 
 
-def test_words_of_budgets_do_nothing_where_nobody_divides(three):
-    one, other = three[:2]
-    with one.lock:
-        one._post([(other.view.me.address, budgets.Elsewhere(1, "x"))])
-        ready = one._ready(clock())
-    one._send(ready)
-    until(lambda: other.counters.read().get("fleet.refused.misplaced", 0) > 0)
-    assert len(other.view.living()) == 3
+def test_budget_messages_are_ignored_without_a_message_handler(agents):
+    sender, receiver = agents[:2]
+    with sender.lock:
+        sender._post([(receiver.view.me.address, budgets.Elsewhere(1, "x"))])
+        outgoing = sender._ready(clock())
+    sender._send(outgoing)
+    until(lambda: receiver.counters.read().get("fleet.refused.misplaced", 0) > 0)
+    assert len(receiver.view.living()) == 3
 
 
-def test_the_largest_datagram_fits(three):
+def test_largest_datagram_fits_the_size_limit(agents):
     codec, longest = Codec(KEY, "c" * 64), "x" * 64
-    big = record(longest, zone=longest, address="255.255.255.255:65535", boot=1 << 61, birth=1 << 61,
-                 digest=Digest(1 << 61, 4, 1 << 31, (1 << 61,) * 8, 1 << 39, bytes(64)))
-    members = three[0].members
-    members.me, news = big, [News(msgspec.structs.replace(big, name=f"{n:064}"), longest) for n in range(9)]
-    for piece in news:
-        members.news.add(piece)
-    members._send("127.0.0.1:1", Ask(1 << 61, longest, "255.255.255.255:65535"), news[0].record)
+    largest = record(longest, zone=longest, address="255.255.255.255:65535", boot=1 << 61, birth=1 << 61,
+                     digest=Digest(1 << 61, 4, 1 << 31, (1 << 61,) * 8, 1 << 39, bytes(64)))
+    members = agents[0].members
+    members.me, updates = largest, [
+        News(msgspec.structs.replace(largest, name=f"{n:064}"), longest) for n in range(9)]
+    for update in updates:
+        members.news.add(update)
+    members._send("127.0.0.1:1", Ask(1 << 61, longest, "255.255.255.255:65535"), updates[0].record)
     sent = members.out.pop()
     assert len(sent.news) >= 1
-    data = codec.pack(Envelope(1 << 61, 1 << 61, 1 << 61, big, sent.word, sent.news))
-    assert len(data) <= DATAGRAM and codec.unpack(data).me == big
+    data = codec.pack(Envelope(1 << 61, 1 << 61, 1 << 61, largest, sent.word, sent.news))
+    assert len(data) <= DATAGRAM and codec.unpack(data).me == largest
 
 
-def test_doors_let_in_what_is_of_this_moment_once():
+def test_replay_guard_accepts_each_envelope_of_a_current_session_once():
     doors = Doors(10)
     assert doors.admit(1, 1, 10) is Verdict.GOOD and doors.admit(1, 1, 10) is Verdict.REPLAYED
     assert doors.admit(2, 1, 10) is Verdict.GOOD and doors.admit(1, 2, 9) is Verdict.UNBOUND
@@ -159,54 +162,54 @@
 
 # Agents
 
-def test_three_know_each_other_and_what_each_says(three):
-    assert all(record.digest.stage == Stage.SERVING for one in three for record in one.view.living())
-    three[2].leave()
-    three[2].stop()
-    until(lambda: knows(three[0], "a1") and knows(three[1], "a0"))
-    assert three[0].view.others["a2"].digest.stage == Stage.LEFT
+def test_three_agents_see_each_other_and_each_status(agents):
+    assert all(record.digest.stage == Stage.SERVING for agent in agents for record in agent.view.living())
+    agents[2].leave()
+    agents[2].stop()
+    until(lambda: sees(agents[0], "a1") and sees(agents[1], "a0"))
+    assert agents[0].view.others["a2"].digest.stage == Stage.LEFT
 
 
-def test_one_that_dies_is_lost_and_one_that_comes_again_has_a_greater_boot(three):
-    dead = three[1]
+def test_stopped_agent_is_lost_and_its_successor_gets_a_greater_boot_number(agents):
+    dead = agents[1]
     dead.stop()
-    until(lambda: knows(three[0], "a2") and knows(three[2], "a0"), 20)
-    again = agent("a1", dead.bind, [three[2].bind], boot=17)  # its clock is far behind
-    start(again)
-    until(lambda: knows(three[0], "a1", "a2") and knows(again, "a0", "a2"), 20)
-    assert again.view.me.boot > dead.view.me.boot and again.kept[-1] == again.view.me.boot
-    until(lambda: three[0].view.others["a1"].process == again.view.me.process)
-    again.stop()
+    until(lambda: sees(agents[0], "a2") and sees(agents[2], "a0"), 20)
+    successor = make_agent("a1", dead.bind, [agents[2].bind], boot=17)  # a number from a clock that is far behind
+    start(successor)
+    until(lambda: sees(agents[0], "a1", "a2") and sees(successor, "a0", "a2"), 20)
+    assert successor.view.me.boot > dead.view.me.boot and successor.saved_boots[-1] == successor.view.me.boot
+    until(lambda: agents[0].view.others["a1"].process == successor.view.me.process)
+    successor.stop()
 
 
-def test_two_processes_of_one_name_are_told_apart(three):
-    other = agent("a1", free("127.0.7.9"), [three[0].bind], boot=clock() // 1000 + 60_000)
+def test_of_two_processes_with_one_name_the_earlier_is_ousted(agents):
+    other = make_agent("a1", unused_address("127.0.7.9"), [agents[0].bind], boot=clock() // 1000 + 60_000)
     start(other)
-    until(lambda: three[1].view.ousted, 20)
-    until(lambda: three[0].view.others["a1"].process == other.view.me.process)
+    until(lambda: agents[1].view.ousted, 20)
+    until(lambda: agents[0].view.others["a1"].process == other.view.me.process)
     assert not other.view.ousted
     other.stop()
 
 
-def test_mutated_foreign_replayed_and_oversized_datagrams_do_nothing(three):
-    target, codec, chance = three[0], Codec(KEY, "test"), random.Random(1)
+def test_altered_foreign_replayed_and_oversized_datagrams_have_no_effect(agents):
+    target, codec, rng = agents[0], Codec(KEY, "test"), random.Random(1)
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     captured = []
-    real = three[1].links.send
-    three[1].links.send = lambda address, data: (captured.append(data) if address == target.bind else None) or real(
+    send = agents[1].links.send
+    agents[1].links.send = lambda address, data: (captured.append(data) if address == target.bind else None) or send(
         address, data)
     until(lambda: len(captured) > 5)
-    # what an old process might still send, keyed: it names no door of this one
-    lies = [codec.pack(Envelope(5, to, count, record("a2", boot=1 << 60, birth=9), Ping(1), [
+    # authentic data that an earlier process might have sent: it names no current session of the target
+    outdated = [codec.pack(Envelope(5, session, counter, record("a2", boot=1 << 60, birth=9), Ping(1), [
         News(record("ghost"), "a1"), News(record("a1", boot=1 << 59), "a2")]))
-        for count, to in enumerate((0, 1, 1 << 60, -1))]
+        for counter, session in enumerate((0, 1, 1 << 60, -1))]
     before = target.view.others.keys(), target.view.others["a1"].boot, target.view.others["a2"].boot
     sent = 0
     for _ in range(4000):
-        good = chance.choice(captured)
-        at, lie = chance.randrange(len(good)), chance.choice(lies)
-        for data in (good, good[:at] + bytes([good[at] ^ 1 << chance.randrange(8)]) + good[at + 1:], good[:at], lie,
-                     good + bytes(1200), chance.randbytes(at)):
+        valid = rng.choice(captured)
+        at, old = rng.randrange(len(valid)), rng.choice(outdated)
+        for data in (valid, valid[:at] + bytes([valid[at] ^ 1 << rng.randrange(8)]) + valid[at + 1:], valid[:at], old,
+                     valid + bytes(1200), rng.randbytes(at)):
             sock.sendto(data, target.links.bind)
             sent += 1
         if sent % 600 == 0:
@@ -214,18 +217,18 @@
     sock.close()
     until(lambda: target.counters.read().get("fleet.refused.replayed", 0) > 100)
     assert (target.view.others.keys(), target.view.others["a1"].boot, target.view.others["a2"].boot) == before
-    assert "ghost" not in target.view.others and knows(target, "a1", "a2")
+    assert "ghost" not in target.view.others and sees(target, "a1", "a2")
     counts = target.counters.read()
-    assert all(counts.get(f"fleet.refused.{why}", 0) for why in ("forged", "replayed", "unbound", "oversized"))
+    assert all(counts.get(f"fleet.refused.{reason}", 0) for reason in ("forged", "replayed", "unbound", "oversized"))
     assert not any(name.startswith("instance.faults") for name in counts)
 
 
-def test_strangers_on_the_stream_are_cut_off_and_bounded(three):
-    target = three[0]
+def test_streams_without_the_key_are_closed_and_limited_in_number(agents):
+    target = agents[0]
     before = target.view.others.keys()
-    slow = [socket.create_connection(target.links.bind) for _ in range(8)]  # and say nothing
+    silent = [socket.create_connection(target.links.bind) for _ in range(8)]
     until(lambda: target.counters.read().get("fleet.streams_refused", 0) >= 4)
-    for sock in slow:
+    for sock in silent:
         sock.close()
     until(lambda: target.streams._value == 4)
     for data in (b"GET / HTTP/1.1\r\n\r\n", b"\xff\xff\xff\xff", b"\0\0\0\5hello", b"\0\0\0\0"):
@@ -235,28 +238,28 @@
                 sock.sendall(data)
                 sock.shutdown(socket.SHUT_WR)
                 assert sock.recv(100) == b""
-            except OSError as bad:
-                assert not isinstance(bad, TimeoutError)  # cut off at any moment is well; waiting is not
-    forged = Codec(KEY, "test").pack(Envelope(1, 0, 1, record("x"), Rest([record("ghost")])))
+            except OSError as error:
+                assert not isinstance(error, TimeoutError)  # a close at any moment is right; no answer is not
+    unexpected = Codec(KEY, "test").pack(Envelope(1, 0, 1, record("x"), Rest([record("ghost")])))
     with socket.create_connection(target.links.bind) as sock:
         stream = Frames(sock, time.monotonic() + 5)
-        stream.send(forged)
-        door = Codec(KEY, "test").unpack(stream.read(9999)).door
-        stream.send(Codec(KEY, "test").pack(Envelope(1, door, 2, record("x"), Rest([record("ghost")]))))
-        assert sock.recv(100) == b""  # a Rest nobody asked for
+        stream.send(unexpected)
+        session = Codec(KEY, "test").unpack(stream.read(9999)).door
+        stream.send(Codec(KEY, "test").pack(Envelope(1, session, 2, record("x"), Rest([record("ghost")]))))
+        assert sock.recv(100) == b""  # a SyncPush without a request before it
     assert target.view.others.keys() == before
 
 
-def test_an_address_in_use_is_told_once_and_taken_when_it_is_free():
-    address = free("127.0.7.5")
+def test_address_in_use_is_retried_until_it_can_be_bound():
+    address = unused_address("127.0.7.5")
     host, _, port = address.partition(":")
-    holder = socket.create_server((host, int(port)))
-    one = agent("a", address, [])
-    start(one)
-    until(lambda: one.counters.read().get("fleet.not_bound", 0) >= 1)
-    holder.close()
-    assert one.opened.wait(5)
-    one.stop()
+    other = socket.create_server((host, int(port)))
+    agent = make_agent("a", address, [])
+    start(agent)
+    until(lambda: agent.counters.read().get("fleet.not_bound", 0) >= 1)
+    other.close()
+    assert agent.opened.wait(5)
+    agent.stop()
 
 
 # The instance
@@ -272,20 +275,21 @@
     key.write_bytes(KEY)
     key.chmod(0o600)
     path = tmp_path / "plan.star"
-    path.write_text(PLAN.format(bind=free("127.0.7.6"), peer=free("127.0.7.7"), key=key, state=tmp_path / "state"))
+    path.write_text(PLAN.format(bind=unused_address("127.0.7.6"), peer=unused_address("127.0.7.7"), key=key,
+                                state=tmp_path / "state"))
     return path
 
 
-def text(address):
+def address_text(address):
     return f"{address[0]}:{address[1]}"
 
 
-def given(**changes):
-    return {"name": "n3", "listen": text(free_address()), "vm": "127.0.0.1:1", "control": "127.0.0.1:1",
+def config_fields(**changes):
+    return {"name": "n3", "listen": address_text(free_address()), "vm": "127.0.0.1:1", "control": "127.0.0.1:1",
             "ledger": "127.0.0.1:1", "settings": SETTINGS, "stop_ms": 1500} | changes
 
 
-LOADED = """
+LIST_MODULES = """
 import sys, threading
 from hollystage.service.config import load
 from hollystage.service.instance import Instance
@@ -299,73 +303,75 @@
 """
 
 
-def test_without_the_plan_nothing_of_it_is_loaded_and_no_thread_runs(tmp_path, plan):
+def test_without_a_plan_no_fleet_module_is_loaded_and_no_thread_started(tmp_path, plan):
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(given()))
-    run = [sys.executable, "-c", LOADED, str(path)]
+    path.write_text(json.dumps(config_fields()))
+    run = [sys.executable, "-c", LIST_MODULES, str(path)]
     off = subprocess.run(run, capture_output=True, text=True, check=True).stdout.split()
     on = subprocess.run([*run, str(plan)], capture_output=True, text=True, check=True).stdout.split()
     assert len(off) == 1 and len(on) > 5 and int(on[-1]) == int(off[-1]) + 4
 
 
-def test_an_instance_shows_its_members_to_who_has_the_key(tmp_path, plan):
+def test_instance_shows_its_members_to_holders_of_the_key(tmp_path, plan):
     path = tmp_path / "config.json"
     interpreter, control = Interpreter(), Answering(reply(204))
-    path.write_text(json.dumps(given(vm=text(interpreter.address), control=text(control.address))))
+    path.write_text(json.dumps(config_fields(vm=address_text(interpreter.address),
+                                             control=address_text(control.address))))
     command = [sys.executable, "-m", "hollystage", "serve", "--config", str(path), "--plan", str(plan)]
-    started = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
+    process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
     try:
         bind = plan.read_text().split('"')[1]
         key, other = tmp_path / "key", tmp_path / "other"
         other.write_bytes(KEY[::-1])
         other.chmod(0o600)
-        ask = CliRunner().invoke
-        found = until(lambda: (r := ask(app, ["fleet", "members", bind, "--key", str(key), "--json"])).exit_code == 0
-                      and json.loads(r.stdout)["members"][0]["stage"] == "serving" and r, 15)
-        (row,) = json.loads(found.stdout)["members"]
+        invoke = CliRunner().invoke
+        result = until(lambda: (
+            r := invoke(app, ["fleet", "members", bind, "--key", str(key), "--json"])).exit_code == 0
+            and json.loads(r.stdout)["members"][0]["stage"] == "serving" and r, 15)
+        (row,) = json.loads(result.stdout)["members"]
         assert (row["name"], row["zone"], row["belief"]) == ("n3", "east", "alive") and row["boot"] > 1 << 40
-        table = ask(app, ["fleet", "members", bind, "--key", str(key)])
+        table = invoke(app, ["fleet", "members", bind, "--key", str(key)])
         assert table.exit_code == 0 and "n3 *" in table.stdout
         for arguments, code in (([bind, "--key", str(other)], 1), ([bind, "--key", str(key), "--cluster", "x"], 1),
                                 (["127.0.7.8:9", "--key", str(key)], 1), ([bind, "--key", str(path)], 2)):
-            assert ask(app, ["fleet", "members", *arguments]).exit_code == code
+            assert invoke(app, ["fleet", "members", *arguments]).exit_code == code
     finally:
-        started.terminate()
-        log = started.communicate(timeout=10)[1]
+        process.terminate()
+        log = process.communicate(timeout=10)[1]
         interpreter.close()
         control.close()
-    assert started.returncode == 0 and "peer alone" in log and "Traceback" not in log
+    assert process.returncode == 0 and "peer alone" in log and "Traceback" not in log
 
 
-def test_faults_of_the_plan_are_one_line_and_serving_goes_on(tmp_path, plan, capsys):
+def test_unusable_key_or_state_folder_is_logged_in_one_line_and_serving_continues(tmp_path, plan, capsys):
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(given()))
+    path.write_text(json.dumps(config_fields()))
     key = tmp_path / "key"
     key.chmod(0o644)
     config = load(str(path), str(plan))
     with pytest.raises(Faulty, match="fleet.key: .* can be read by others"):
         check_files(config)
 
-    class Said:
+    class LogLines:
         lines = []
 
         def error(self, event, **more):
             self.lines.append((event, more["why"]))
         warning = info = error
 
-    held = Folder(str(tmp_path / "state"), "other")
+    locked = Folder(str(tmp_path / "state"), "other")
     driver = Driver(translate(config.settings), 1, Counters())
-    peers = Peers(config, driver, None, Counters(), Said())
+    peers = Peers(config, driver, None, Counters(), LogLines())
     assert peers.agent is None and peers.folder is None and peers.tasks() == []
-    assert [line[0] for line in Said.lines] == ["serving goes on without stored state",
-                                                "serving goes on without peers"]
-    assert "is held by other, process" in Said.lines[0][1] and "set its mode to 600" in Said.lines[1][1]
-    held.close()
+    assert [line[0] for line in LogLines.lines] == ["serving goes on without stored state",
+                                               "serving goes on without peers"]
+    assert "is locked by other, process" in LogLines.lines[0][1] and "set its mode to 600" in LogLines.lines[1][1]
+    locked.close()
 
 
-# What is stored
+# Stored state
 
-class Lines:
+class WarningLog:
     def __init__(self):
         self.lines = []
 
@@ -373,50 +379,50 @@
         self.lines.append(why)
 
 
-def test_boots_never_fall_whatever_the_clock_says(tmp_path):
-    log = Lines()
+def test_boot_numbers_always_increase_whatever_the_clock_shows(tmp_path):
+    log = WarningLog()
     folder = Folder(str(tmp_path / "s"), "a")
-    boots_seen = [boots.next_boot(folder, clock_ms, log) for clock_ms in (1000, 900, 0, 5000, 5000, -7)]
-    assert boots_seen == [1000, 1001, 1002, 5000, 5001, 5002] and not log.lines
+    numbers = [boots.next_boot(folder, clock_ms, log) for clock_ms in (1000, 900, 0, 5000, 5000, -7)]
+    assert numbers == [1000, 1001, 1002, 5000, 5001, 5002] and not log.lines
     assert boots.next_boot(None, 33, log) == 33
-    with pytest.raises(Unusable, match=r"is held by a, process \d+"):
+    with pytest.raises(Unusable, match=r"is locked by a, process \d+"):
         Folder(str(tmp_path / "s"), "a")
     folder.close()
 
 
-@pytest.mark.parametrize("change, why", [
-    (lambda d: b"", "is empty"), (lambda d: d[:-1], "cut short or spoilt"),
-    (lambda d: d + b"1", "cut short or spoilt"), (lambda d: b"x" + d, "is no state"),
-    (lambda d: d.replace(b"boot 1", b"boot 2"), "of form 2, this version reads up"),
-    (lambda d: d.replace(b" a ", b" b "), "spoilt"), (lambda d: bytes(9), "is no state")])
-def test_a_stored_boot_that_cannot_be_believed_is_told_and_replaced(tmp_path, change, why):
-    log, path = Lines(), tmp_path / "s" / "boot"
+@pytest.mark.parametrize("change, reason", [
+    (lambda d: b"", "is empty"), (lambda d: d[:-1], "truncated or corrupt"),
+    (lambda d: d + b"1", "truncated or corrupt"), (lambda d: b"x" + d, "is not a state file"),
+    (lambda d: d.replace(b"boot 1", b"boot 2"), "of format 2, this version reads up"),
+    (lambda d: d.replace(b" a ", b" b "), "corrupt"), (lambda d: bytes(9), "is not a state file")])
+def test_damaged_boot_file_is_logged_and_replaced(tmp_path, change, reason):
+    log, path = WarningLog(), tmp_path / "s" / "boot"
     folder = Folder(str(tmp_path / "s"), "a")
     boots.next_boot(folder, 5000, log)
     path.write_bytes(change(path.read_bytes()))
-    assert boots.next_boot(folder, 70, log) == 70 and why in log.lines[0]
+    assert boots.next_boot(folder, 70, log) == 70 and reason in log.lines[0]
     assert boots.next_boot(folder, 0, log) == 71
     folder.close()
 
 
-def test_state_of_another_instance_is_not_believed(tmp_path):
-    folder, log = Folder(str(tmp_path / "s"), "b"), Lines()
+def test_state_of_another_instance_is_ignored(tmp_path):
+    folder, log = Folder(str(tmp_path / "s"), "b"), WarningLog()
     boots.next_boot(folder, 9000, log)
     folder.close()
     folder = Folder(str(tmp_path / "s"), "a")
-    assert boots.next_boot(folder, 5, log) == 5 and "is that of b" in log.lines[0]
+    assert boots.next_boot(folder, 5, log) == 5 and "belongs to b" in log.lines[0]
     folder.close()
 
 
-def test_a_disk_that_fails_costs_a_line(tmp_path, monkeypatch):
-    folder, log = Folder(str(tmp_path / "s"), "a"), Lines()
+def test_failing_disk_is_logged_and_leaves_the_old_file(tmp_path, monkeypatch):
+    folder, log = Folder(str(tmp_path / "s"), "a"), WarningLog()
     boots.next_boot(folder, 40, log)
     for call, number in (("write", 28), ("fsync", 5), ("open", 30), ("rename", 28)):
         with monkeypatch.context() as patch:
-            def fails(*_, number=number):
+            def fail(*_, number=number):
                 raise OSError(number, os.strerror(number))
-            patch.setattr(os, call, fails)
-            assert boots.next_boot(folder, 0, log) == 41  # the old file is as it was
+            patch.setattr(os, call, fail)
+            assert boots.next_boot(folder, 0, log) == 41  # the old file is unchanged
         assert "cannot be written" in log.lines.pop()
     assert boots.next_boot(folder, 0, log) == 41
     assert stat.S_IMODE(os.stat(tmp_path / "s").st_mode) == 0o700
