--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -1,4 +1,4 @@
-"""Contracts: what every transport and every store must keep, written once and run for each; each is shown to fail."""
+"""Contracts of transports and stores: each is checked against every implementation, and against broken ones."""
 import errno
 import os
 import random
@@ -20,7 +20,7 @@
 from hollystage.store.memory import Memory
 
 
-def free(host):
+def unused_address(host):
     with socket.create_server((host, 0)) as sock:
         return f"{host}:{sock.getsockname()[1]}"
 
@@ -29,127 +29,130 @@
 
 
 class Transport(Protocol):
-    """`ordered`, `once`: what it promises of the messages that arrive; `sure`: that they do; `most`: bytes of one."""
+    """What a transport guarantees: messages arrive in order, without duplicates, and reliably.
+
+    `max_size` is the largest message in bytes.
+    """
 
     ordered: bool
-    once: bool
-    sure: bool
-    most: int
+    no_duplicates: bool
+    reliable: bool
+    max_size: int
 
-    def carry(self, messages: list[bytes]) -> list[bytes]:
-        """Sends them one after the other; what arrived, within a bounded time."""
+    def transfer(self, messages: list[bytes]) -> list[bytes]:
+        """Sends the messages one after the other and returns those that arrive within a bounded time."""
 
     def close(self) -> None: ...
 
 
-def carried(transport, seed=1):
-    """The contract. Whole or not at all, in number and order as promised, and none that is over the bound."""
-    chance = random.Random(seed)
-    sizes = [0, 1, 2, 255, 256, 900, min(transport.most, 60_000)]
-    messages = [bytes([n]) + chance.randbytes(size) for n, size in enumerate(sizes)][:-1]
-    messages += [bytes([40 + n]) + chance.randbytes(chance.randrange(1, 900)) for n in range(20)]
-    found = transport.carry(messages)
-    assert all(message in messages for message in found), "something arrived that was never sent whole"
-    if transport.once:
-        assert len(set(found)) == len(found), "something arrived twice"
+def check_transport(transport, seed=1):
+    """Checks that messages arrive complete or not at all, as guaranteed, and never above the size limit."""
+    rng = random.Random(seed)
+    sizes = [0, 1, 2, 255, 256, 900, min(transport.max_size, 60_000)]
+    messages = [bytes([n]) + rng.randbytes(size) for n, size in enumerate(sizes)][:-1]
+    messages += [bytes([40 + n]) + rng.randbytes(rng.randrange(1, 900)) for n in range(20)]
+    received = transport.transfer(messages)
+    assert all(message in messages for message in received), "a message arrived that was not sent in this version"
+    if transport.no_duplicates:
+        assert len(set(received)) == len(received), "a message arrived twice"
     if transport.ordered:
-        places = [messages.index(message) for message in found]
-        assert places == sorted(places), "out of order"
-    if transport.sure:
-        assert set(found) == set(messages), "something is missing"
-    assert len(found) <= 2 * len(messages) and found
-    over = bytes(transport.most + 1)
-    assert over not in transport.carry([over, messages[0]]), "more than the bound"
-    again = transport.carry(messages[:5])
-    assert set(again) <= set(messages) and (set(again) == set(messages[:5]) or not transport.sure)
+        positions = [messages.index(message) for message in received]
+        assert positions == sorted(positions), "messages arrived out of order"
+    if transport.reliable:
+        assert set(received) == set(messages), "a message is missing"
+    assert len(received) <= 2 * len(messages) and received
+    oversized = bytes(transport.max_size + 1)
+    assert oversized not in transport.transfer([oversized, messages[0]]), "an oversized message arrived"
+    received = transport.transfer(messages[:5])
+    assert set(received) <= set(messages) and (set(received) == set(messages[:5]) or not transport.reliable)
 
 
-class Loopback:
-    """Datagrams of the links, which owe nothing."""
+class DatagramTransport:
+    """Datagrams of `PeerSockets`. They guarantee nothing, but none is lost on the loopback interface."""
 
-    ordered, once, sure, most = True, True, True, 2_047
+    ordered, no_duplicates, reliable, max_size = True, True, True, 2_047
 
     def __init__(self):
-        self.near, self.far = (Links(free(host)) for host in ("127.0.9.1", "127.0.9.2"))
+        self.near, self.far = (Links(unused_address(host)) for host in ("127.0.9.1", "127.0.9.2"))
         self.near.open()
         self.far.open()
         self.to = "{}:{}".format(*self.far.bind)
 
-    def carry(self, messages):
-        found = []
+    def transfer(self, messages):
+        received = []
         for message in messages:
             self.near.send(self.to, message)
             data = self.far.receive(1.0)
-            # what fills the room that is read may have been cut
-            if data is not None and len(data) <= self.most:
-                found.append(data)
-        return found
+            # a datagram that fills the whole read buffer may have been truncated
+            if data is not None and len(data) <= self.max_size:
+                received.append(data)
+        return received
 
     def close(self):
-        for links in (self.near, self.far):
-            links.hang_up()
-            links.datagrams.close()
+        for sockets in (self.near, self.far):
+            sockets.hang_up()
+            sockets.datagrams.close()
 
 
-class Streams(Loopback):
-    """Frames on a stream of the links."""
+class StreamTransport(DatagramTransport):
+    """Frames on a stream between two `PeerSockets`."""
 
-    most = 4_096
+    max_size = 4_096
 
-    def carry(self, messages):
-        there = self.near.connect(self.to)
-        here = Frames(self.far.accept(), time.monotonic() + 3.0)
-        found = []
+    def transfer(self, messages):
+        sender = self.near.connect(self.to)
+        receiver = Frames(self.far.accept(), time.monotonic() + 3.0)
+        received = []
         try:
             for message in messages:
-                there.send(message)
-                found.append(here.read(self.most))
+                sender.send(message)
+                received.append(receiver.read(self.max_size))
         except (Cut, OSError):
-            pass  # one over the bound ends the stream
+            pass  # an oversized message ends the stream
         finally:
-            there.close()
-            here.close()
-        return found
+            sender.close()
+            receiver.close()
+        return received
 
 
-class Virtual:
-    """The network of the twin, as it is or with a fault on it."""
+class VirtualTransport:
+    """The simulated network, without or with faults."""
 
-    most = 10 ** 6
+    max_size = 10 ** 6
 
-    def __init__(self, *faults, ordered=False, once=False, sure=True):
-        self.ordered, self.once, self.sure = ordered, once, sure
+    def __init__(self, *faults, ordered=False, no_duplicates=False, reliable=True):
+        self.ordered, self.no_duplicates, self.reliable = ordered, no_duplicates, reliable
         self.net, self.clock = Net(7), Clock(1_000_000)
         for fault in faults:
             self.net.apply(fault, ["a", "b"])
 
-    def carry(self, messages):
-        found = []
+    def transfer(self, messages):
+        received = []
         for message in messages:
-            if len(message) > self.most:
+            if len(message) > self.max_size:
                 continue
-            for wait, spoilt in self.net.fates(("a", "b"), len(message), self.clock.now / 1e6):
-                if not spoilt:  # the keyed hash of who receives it tells
-                    self.clock.at(self.clock.now + 300 + int(wait * 1e6), lambda one=message: found.append(one))
+            for delay, corrupt in self.net.fates(("a", "b"), len(message), self.clock.now / 1e6):
+                if not corrupt:  # the receiver drops corrupt messages, whose keyed hash is wrong
+                    self.clock.at(self.clock.now + 300 + int(delay * 1e6), lambda one=message: received.append(one))
             self.clock.run(self.clock.now + 1_000)
         self.clock.run(self.clock.now + 2_000_000)
-        return found
+        return received
 
     def close(self):
         pass
 
 
-class Switched(Loopback):
-    """The rig's switchboard, a process of its own, between two parties."""
+class SwitchboardTransport(DatagramTransport):
+    """The fault-injecting switchboard of the test rig, a separate process between two parties."""
 
-    most = 1_400
+    max_size = 1_400
 
-    def __init__(self, folder, *faults, ordered=False, once=False, sure=True):
+    def __init__(self, folder, *faults, ordered=False, no_duplicates=False, reliable=True):
         super().__init__()
-        self.ordered, self.once, self.sure = ordered, once, sure
-        face = free("127.0.9.3")
+        self.ordered, self.no_duplicates, self.reliable = ordered, no_duplicates, reliable
+        address = unused_address("127.0.9.3")
         spec = folder / "wiring.json"
-        doors = [Door(face, "far", self.to, "", True)]
+        doors = [Door(address, "far", self.to, "", True)]
         spec.write_bytes(msgspec.json.encode(Wiring(doors, {"127.0.9.1": "near"}, 3)))
         self.process = subprocess.Popen([sys.executable, "-m", "hollystage.standins.fleet.switchboard", str(spec)],
                                         stdin=subprocess.PIPE, stdout=subprocess.PIPE)
@@ -158,20 +161,20 @@
             self.process.stdin.write(msgspec.json.encode(Order(fault)) + b"\n")
         self.process.stdin.flush()
         time.sleep(0.2)
-        self.to = face
+        self.to = address
 
-    def carry(self, messages):
+    def transfer(self, messages):
         for message in messages:
             self.near.send(self.to, message)
             time.sleep(0.002)
-        found, quiet = [], 0
-        while quiet < 4 and len(found) < 200:
+        received, timeouts = [], 0
+        while timeouts < 4 and len(received) < 200:
             data = self.far.receive(0.1)
-            quiet = quiet + 1 if data is None else 0
-            # one over the bound comes cut at what is read; what is spoilt is told by who receives it
-            if data is not None and len(data) <= self.most and data in messages:
-                found.append(data)
-        return found
+            timeouts = timeouts + 1 if data is None else 0
+            # oversized datagrams arrive truncated; corrupt ones are dropped here, as a receiver would by the hash
+            if data is not None and len(data) <= self.max_size and data in messages:
+                received.append(data)
+        return received
 
     def close(self):
         self.process.stdin.close()
@@ -180,78 +183,86 @@
         super().close()
 
 
-def link(do, amount):
+def virtual_fault(do, amount):
     return Fault(0, do, ["a"], ["b"], amount=amount)
 
 
-def wired(do, amount):
+def switchboard_fault(do, amount):
     return Fault(0, do, ["near"], ["far"], amount=amount)
 
 
 TRANSPORTS = {
-    "datagrams": lambda _: Loopback(), "streams": lambda _: Streams(),
-    "switchboard": lambda folder: Switched(folder, ordered=True, once=True),
-    "switchboard, lossy": lambda folder: Switched(folder, wired("lose", 0.4), ordered=True, once=True, sure=False),
-    "switchboard, doubled": lambda folder: Switched(folder, wired("double", 0.5)),
-    "switchboard, reordered": lambda folder: Switched(folder, wired("reorder", 0.5), once=True),
-    "switchboard, spoilt": lambda folder: Switched(folder, wired("spoil", 0.3), ordered=True, once=True, sure=False),
-    "virtual": lambda _: Virtual(ordered=True, once=True),
-    "virtual, lossy": lambda _: Virtual(link("lose", 0.3), ordered=True, once=True, sure=False),
-    "virtual, doubled": lambda _: Virtual(link("double", 0.5)),
-    "virtual, reordered": lambda _: Virtual(link("reorder", 0.5), once=True),
-    "virtual, spoilt": lambda _: Virtual(link("spoil", 0.3), ordered=True, once=True, sure=False),
+    "datagrams": lambda _: DatagramTransport(), "streams": lambda _: StreamTransport(),
+    "switchboard": lambda folder: SwitchboardTransport(folder, ordered=True, no_duplicates=True),
+    "switchboard, lossy": lambda folder: SwitchboardTransport(
+        folder, switchboard_fault("lose", 0.4), ordered=True, no_duplicates=True, reliable=False),
+    "switchboard, doubled": lambda folder: SwitchboardTransport(folder, switchboard_fault("double", 0.5)),
+    "switchboard, reordered": lambda folder: SwitchboardTransport(
+        folder, switchboard_fault("reorder", 0.5), no_duplicates=True),
+    "switchboard, spoilt": lambda folder: SwitchboardTransport(
+        folder, switchboard_fault("spoil", 0.3), ordered=True, no_duplicates=True, reliable=False),
+    "virtual": lambda _: VirtualTransport(ordered=True, no_duplicates=True),
+    "virtual, lossy": lambda _: VirtualTransport(
+        virtual_fault("lose", 0.3), ordered=True, no_duplicates=True, reliable=False),
+    "virtual, doubled": lambda _: VirtualTransport(virtual_fault("double", 0.5)),
+    "virtual, reordered": lambda _: VirtualTransport(virtual_fault("reorder", 0.5), no_duplicates=True),
+    "virtual, spoilt": lambda _: VirtualTransport(
+        virtual_fault("spoil", 0.3), ordered=True, no_duplicates=True, reliable=False),
 }
 
 
 @pytest.mark.parametrize("name", TRANSPORTS)
-def test_every_transport_keeps_the_contract(name, tmp_path):
+def test_transport_fulfils_the_contract(name, tmp_path):
     transport = TRANSPORTS[name](tmp_path)
     try:
-        carried(transport)
+        check_transport(transport)
     finally:
         transport.close()
 
 
-class Cutting(Virtual):
-    def carry(self, messages):
-        return [message[:-1] if len(message) == 256 else message for message in super().carry(messages)]
+class TruncatingTransport(VirtualTransport):
+    def transfer(self, messages):
+        return [message[:-1] if len(message) == 256 else message for message in super().transfer(messages)]
 
 
-class Doubling(Virtual):
-    def carry(self, messages):
-        return [message for message in super().carry(messages) for _ in range(2)]
+class DuplicatingTransport(VirtualTransport):
+    def transfer(self, messages):
+        return [message for message in super().transfer(messages) for _ in range(2)]
 
 
-class Unbounded(Virtual):
-    def carry(self, messages):
-        self.most, kept = 1 << 40, self.most
-        found = super().carry(messages)
-        self.most = kept
-        return found
+class UnboundedTransport(VirtualTransport):
+    def transfer(self, messages):
+        self.max_size, max_size = 1 << 40, self.max_size
+        received = super().transfer(messages)
+        self.max_size = max_size
+        return received
 
 
-class Swapping(Virtual):
-    def carry(self, messages):
-        return super().carry(messages)[::-1]
+class ReversingTransport(VirtualTransport):
+    def transfer(self, messages):
+        return super().transfer(messages)[::-1]
 
 
-class Losing(Virtual):
-    def carry(self, messages):
-        return super().carry(messages)[1:]
+class LosingTransport(VirtualTransport):
+    def transfer(self, messages):
+        return super().transfer(messages)[1:]
 
 
-@pytest.mark.parametrize("kind", [Cutting, Doubling, Unbounded, Swapping, Losing])
-def test_a_transport_that_breaks_the_contract_is_found(kind):
+@pytest.mark.parametrize("kind", [TruncatingTransport, DuplicatingTransport, UnboundedTransport,
+                                  ReversingTransport, LosingTransport])
+def test_contract_detects_a_broken_transport(kind):
     with pytest.raises(AssertionError):
-        carried(kind(ordered=True, once=True))
+        check_transport(kind(ordered=True, no_duplicates=True))
 
 
 # Stores
 
 
-def kept(store, again):
-    """The contract. What was written is there, the last of each kind, for a later holder too; each kind apart; a
-    newer form is refused. `again` gives the store to a later holder."""
+def check_store(store, reopen):
+    """Checks that the last body of each kind can be read, also after reopening, and that a newer format is refused.
+
+    `reopen` gives the state to a new store, as a restart does. Returns the new store.
+    """
     assert store.read("boot", 1) is None
     for body in (b"", b"x" * 5, bytes(range(256)) * 40, b"last"):
         store.write("boot", 1, body)
@@ -260,52 +271,52 @@
     assert (store.read("boot", 1), store.read("snapshot", 3)) == (b"last", b"other")
     with pytest.raises(Unusable):
         store.read("snapshot", 1)
-    later = again(store)
+    later = reopen(store)
     assert (later.read("boot", 1), later.read("snapshot", 2)) == (b"last", b"other")
     return later
 
 
-def reopened(store):
+def reopen_folder(store):
     path, name = store.path, store.name
     store.close()
     return Folder(path, name)
 
 
 STORES = {"memory": (lambda path: Memory("a"), lambda store: store),
-          "folder": (lambda path: Folder(str(path), "a"), reopened)}
+          "folder": (lambda path: Folder(str(path), "a"), reopen_folder)}
 
 
 @pytest.mark.parametrize("name", STORES)
-def test_every_store_keeps_the_contract(name, tmp_path):
-    make, again = STORES[name]
-    kept(make(tmp_path / "state"), again).close()
+def test_store_fulfils_the_contract(name, tmp_path):
+    make, reopen = STORES[name]
+    check_store(make(tmp_path / "state"), reopen).close()
 
 
-def fails_after(monkeypatch, room, number):
-    """The disk takes `room` more bytes, the last of them in part."""
-    left, write = [room], os.write
+def limit_writes(monkeypatch, capacity, number):
+    """Lets the disk take `capacity` more bytes; the last write is partial, later ones fail with errno `number`."""
+    remaining, write = [capacity], os.write
 
-    def some(file, data):
-        if left[0] <= 0:
+    def limited_write(file, data):
+        if remaining[0] <= 0:
             raise OSError(number, os.strerror(number))
-        taken = write(file, bytes(data[:left[0]]))
-        left[0] -= taken
-        return taken
-    monkeypatch.setattr(os, "write", some)
+        written = write(file, bytes(data[:remaining[0]]))
+        remaining[0] -= written
+        return written
+    monkeypatch.setattr(os, "write", limited_write)
 
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EROFS, errno.EIO])
-@pytest.mark.parametrize("room", [0, 1, 40, 90, 150])
-def test_a_disk_that_fails_leaves_the_last_confirmed_one(tmp_path, monkeypatch, number, room):
+@pytest.mark.parametrize("capacity", [0, 1, 40, 90, 150])
+def test_failed_write_leaves_the_last_confirmed_file(tmp_path, monkeypatch, number, capacity):
     store = Folder(str(tmp_path / "state"), "a")
     store.write("boot", 1, b"first")
-    with monkeypatch.context() as broken:
-        fails_after(broken, room, number)
+    with monkeypatch.context() as patch:
+        limit_writes(patch, capacity, number)
         with pytest.raises(Unusable):
             store.write("boot", 1, b"y" * 200)
     assert store.read("boot", 1) == b"first"
     store.write("boot", 1, b"third")
-    assert reopened(store).read("boot", 1) == b"third"
+    assert reopen_folder(store).read("boot", 1) == b"third"
 
 
 WRITER = """import sys
@@ -319,8 +330,8 @@
 """
 
 
-def killed_in_the_middle(path, after):
-    """What a process that is killed while it writes had confirmed, and what is found."""
+def kill_while_writing(path, after):
+    """Kills a writing process after some confirmed writes; the last confirmed number and the stored one."""
     process = subprocess.Popen([sys.executable, "-c", WRITER, str(path)], stdout=subprocess.PIPE, text=True)
     confirmed = 0
     while confirmed < after:
@@ -330,62 +341,62 @@
     rest = process.stdout.read().split()
     process.wait(10)
     store = Folder(str(path), "a")
-    found = int(store.read("boot", 1))
+    stored = int(store.read("boot", 1))
     store.close()
-    return int(rest[-1]) if rest else confirmed, found
+    return int(rest[-1]) if rest else confirmed, stored
 
 
 @pytest.mark.parametrize("after", [1, 9, 23, 60])
-def test_what_was_confirmed_is_there_after_a_kill_and_nothing_half(tmp_path, after):
-    confirmed, found = killed_in_the_middle(tmp_path / "state", after)
-    assert confirmed <= found <= confirmed + 1
+def test_confirmed_writes_survive_a_kill_and_no_partial_file_remains(tmp_path, after):
+    confirmed, stored = kill_while_writing(tmp_path / "state", after)
+    assert confirmed <= stored <= confirmed + 1
 
 
-class Half(Folder):
-    """Written in place: a failing disk leaves half of it."""
+class InPlaceFolder(Folder):
+    """Writes in place, so that a failing disk leaves a partial file."""
 
-    def write(self, kind, form, body):
+    def write(self, kind, version, body):
         path = os.path.join(self.path, kind)
-        number = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC)
+        file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC)
         try:
-            os.write(number, body[:len(body) // 2])
-            os.write(number, body[len(body) // 2:])
-        except OSError as bad:
-            raise Unusable("full") from bad
+            os.write(file, body[:len(body) // 2])
+            os.write(file, body[len(body) // 2:])
+        except OSError as error:
+            raise Unusable("full") from error
         finally:
-            os.close(number)
+            os.close(file)
 
 
-class Late(Memory):
-    """Confirms before it keeps."""
+class DelayingStore(Memory):
+    """Confirms a write before it is stored."""
 
-    def write(self, kind, form, body):
-        waiting = getattr(self, "waiting", None)
-        if waiting is not None:
-            super().write(*waiting)
-        self.waiting = kind, form, body
+    def write(self, kind, version, body):
+        pending = getattr(self, "pending", None)
+        if pending is not None:
+            super().write(*pending)
+        self.pending = kind, version, body
 
 
-class Mixed(Memory):
-    """One place for all kinds."""
+class SingleEntryStore(Memory):
+    """Stores all kinds in one entry."""
 
-    def write(self, kind, form, body):
-        super().write("all", form, body)
+    def write(self, kind, version, body):
+        super().write("all", version, body)
 
-    def read(self, kind, form):
-        return super().read("all", form)
+    def read(self, kind, version):
+        return super().read("all", version)
 
 
-@pytest.mark.parametrize("store", [Late("a"), Mixed("a")])
-def test_a_store_that_breaks_the_contract_is_found(store):
+@pytest.mark.parametrize("store", [DelayingStore("a"), SingleEntryStore("a")])
+def test_contract_detects_a_broken_store(store):
     with pytest.raises((AssertionError, Unusable)):
-        kept(store, lambda store: store)
+        check_store(store, lambda store: store)
 
 
-def test_a_store_that_writes_in_place_is_found(tmp_path, monkeypatch):
-    store = Half(str(tmp_path / "state"), "a")
+def test_failed_write_in_place_leaves_an_unreadable_file(tmp_path, monkeypatch):
+    store = InPlaceFolder(str(tmp_path / "state"), "a")
     Folder.write(store, "boot", 1, b"first")
-    fails_after(monkeypatch, 100, errno.ENOSPC)
+    limit_writes(monkeypatch, 100, errno.ENOSPC)
     with pytest.raises(Unusable):
         store.write("boot", 1, b"y" * 200)
     with pytest.raises(Unusable):
