--- a/hollystage/fleet/treasury.py
+++ b/hollystage/fleet/treasury.py
@@ -67,7 +67,7 @@
             self.office.share.used(name, usage)
 
     def _publish(self, now: int) -> None:
-        self.steps = {name: holding.steps(now) for name, holding in self.office.share.holdings.items()}
+        self.steps = {name: allocation.steps(now) for name, allocation in self.office.share.holdings.items()}
 
     def _addressed(self, messages: list[Message]) -> list[tuple[str, Guest]]:
         """Replaces names by addresses; drops messages to processes of unknown address, which are repeated later."""
@@ -76,21 +76,21 @@
 
     def shown(self, what: str) -> dict[str, Any] | None:
         """The table `budgets` or, on a voter, `leases`, for an operator; None for any other name."""
-        now, office = self.clock(), self.office
+        now, participant = self.clock(), self.office
         if what == "budgets":
-            return {"me": office.me.name, "divider": office.share.divider, "epoch": office.share.epoch,
-                    "divides": office.divider is not None,
-                    "budgets": [{"name": name, "part": holding.own(now), "usable": holding.usable(now),
-                                 "held": holding.held(now), "using": holding.using, "lent": holding.lends(now),
-                                 "borrowed": holding.borrows(now), "floor": holding.floor(now),
-                                 "left_ms": max(0, holding.ends - now) // 1000}
-                                for name, holding in office.share.holdings.items()],
-                    "counts": office.share.counts}
-        if what == "leases" and office.booth is not None:
-            return {"me": office.me.name, "leases": [
+            return {"me": participant.me.name, "divider": participant.share.divider, "epoch": participant.share.epoch,
+                    "divides": participant.divider is not None,
+                    "budgets": [{"name": name, "part": allocation.own(now), "usable": allocation.usable(now),
+                                 "held": allocation.held(now), "using": allocation.using, "lent": allocation.lends(now),
+                                 "borrowed": allocation.borrows(now), "floor": allocation.floor(now),
+                                 "left_ms": max(0, allocation.ends - now) // 1000}
+                                for name, allocation in participant.share.holdings.items()],
+                    "counts": participant.share.counts}
+        if what == "leases" and participant.booth is not None:
+            return {"me": participant.me.name, "leases": [
                 {"name": name, "holder": holder.name if (holder := voter.holder(now)) is not None else None,
                  "number": voter.granted[0] if voter.granted is not None else None,
-                 "left_ms": max(0, voter.until - now) // 1000} for name, voter in office.booth.voters.items()]}
+                 "left_ms": max(0, voter.until - now) // 1000} for name, voter in participant.booth.voters.items()]}
         return None
 
     def figures(self) -> dict[str, float]:
