--- a/hollystage/service/clients.py
+++ b/hollystage/service/clients.py
@@ -1,4 +1,4 @@
-"""The side of the clients: the listener, a thread a connection, an RPC's life, the watch for closes."""
+"""The server side of the instance: the listener, one thread per connection, the handling of RPCs, close detection."""
 from __future__ import annotations
 
 import contextlib
@@ -23,58 +23,61 @@
 from .interpreter import Link
 from .ledger import Ledger
 
-FIRST_S = 1.5  # from a connection's start to the end of its first message: silence and dribble end here
-SETTLE_S, FLOOD = 0.3, 0.25  # a new connection is not closed for room before; share of the table
+FIRST_S = 1.5  # from a connection's start to the end of its first message: bounds silent and slow clients
+# a connection is not evicted before this age; with this share of new connections no established one is evicted
+SETTLE_S, FLOOD = 0.3, 0.25
 SLOW_S = 2.0  # from the first byte of a later message to its last
-TAKE_S = 5.0  # for an answer to be taken
-AHEAD_MS, BEHIND_MS = 5_000, 30_000  # an RPC's start off the clock; the latter past its deadline
-PATIENT = 10  # deadlines that a caller may say it waits
-DEEP_S = 1.0  # for the interpreter to show that work gets done
-OVERDUE_S = 1.0  # past an RPC's due time: the module must have answered long before
-TAKEN_S = 2.0
-LINGER_S = 0.5  # for the other side to close after its last answer
-SPENT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # an accept that fails for want of room
-SWEEP_S, AGAIN_S = 0.1, 0.01
-HANDED_OVER_S = 0.5  # for the accepting thread to end, or descriptors to come free, once the listener closes
+TAKE_S = 5.0  # for the client to receive an answer
+# accepted X-Request-Start: how far ahead of our clock, how far past the method's deadline
+AHEAD_MS, BEHIND_MS = 5_000, 30_000
+PATIENT = 10  # largest X-Timeout-Ms, in deadlines of the method
+DEEP_S = 1.0  # for the interpreter to answer a deep health check
+OVERDUE_S = 1.0  # past an RPC's due time; the decision module must have answered long before
+TAKEN_S = 2.0  # how long the listen address may still be in use
+LINGER_S = 0.5  # for the client to close after its last answer
+SPENT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # accept() fails for lack of resources
+SWEEP_S, AGAIN_S = 0.1, 0.01  # between checks for idle connections; between attempts to accept
+HANDED_OVER_S = 0.5  # for the accepting thread to end, or for free descriptors, when the listener closes
 BACKLOG = 512
-ATTACH_FILTER = 26  # Linux; Python has no name for it
+ATTACH_FILTER = 26  # from Linux's asm/socket.h; Python does not define it
 
-Answer = tuple[int, dict[str, str], bytes]
+Answer = tuple[int, dict[str, str], bytes]  # status, header fields, body
 
 
 class Clients:
-    """Owns the listener and every connection taken from it."""
+    """Owns the listener and every accepted connection; a connection is served by a thread of its own."""
 
     def __init__(self, address: Address, names: list[str], driver: Driver, link: Link, ledger: Ledger,
-                 most: int, pool: Pool, counters: Counters, log: Any) -> None:
+                 max_connections: int, pool: Pool, counters: Counters, log: Any) -> None:
         self.driver, self.link, self.ledger, self.pool = driver, link, ledger, pool
         self.counters, self.log = counters, log
         self.methods = dict(zip(names, driver.settings.methods, strict=True))
         self.lock = threading.Lock()
         self.connections: dict[int, Connection] = {}
-        self.most, self.room = most, threading.Semaphore(most)
+        self.most, self.room = max_connections, threading.Semaphore(max_connections)
         self.closing = self.stopped = False
-        self.acceptor: threading.Thread | None = None  # may hold a connection that is not in the table yet
+        self.acceptor: threading.Thread | None = None  # may have accepted a connection that is not in the table yet
         self.epoll = select.epoll()
         self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._bind(address)
-        self.listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # what is accepted inherits it
+        self.listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # accepted sockets inherit it
         self.listener.listen(BACKLOG)
 
     def _bind(self, address: Address) -> None:
-        """Guards a start in haste: a predecessor that was killed may hold the address a moment longer."""
-        until = time.monotonic() + TAKEN_S
+        """Binds the listener; retries for a while, since a killed predecessor may still hold the address."""
+        deadline = time.monotonic() + TAKEN_S
         while True:
             try:
                 return self.listener.bind(address)
-            except OSError as bad:
-                if bad.errno != errno.EADDRINUSE or time.monotonic() > until:
+            except OSError as error:
+                if error.errno != errno.EADDRINUSE or time.monotonic() > deadline:
                     self.listener.close()
                     raise
                 time.sleep(SWEEP_S)
 
     def accept_forever(self) -> None:
+        """Accepts connections until `close`; at the limit it evicts one first."""
         self.acceptor = threading.current_thread()
         while not self.closing:
             if not self.room.acquire(blocking=False):
@@ -83,71 +86,75 @@
                     continue
             try:
                 sock, _ = self.listener.accept()
-            except OSError as bad:
+            except OSError as error:
                 self.room.release()
                 if not self.closing:
-                    self._not_accepted(bad)
+                    self._not_accepted(error)
                 continue
             self._begin(sock)
 
-    def _not_accepted(self, bad: OSError) -> None:
+    def _not_accepted(self, error: OSError) -> None:
         self.counters.add("clients.not_accepted")
-        if bad.errno in SPENT:
-            self.log.warning("no connection could be accepted", why=str(bad))
+        if error.errno in SPENT:
+            self.log.warning("cannot accept connections", why=str(error))
             self._make_room()
             time.sleep(AGAIN_S)
 
     def _begin(self, sock: socket.socket) -> None:
-        """Gives the connection to a thread of its own, which ends it."""
+        """Starts the thread that serves the connection and finally closes it."""
         connection = Connection(sock)
         with self.lock:
             self.connections[sock.fileno()] = connection
         self.counters.add("clients.connections")
         try:
             threading.Thread(target=self._connection, args=(connection,), daemon=True).start()
-        except (RuntimeError, MemoryError) as bad:  # no thread is to be had
-            self.log.error("no thread for a connection", why=str(bad))
+        except (RuntimeError, MemoryError) as error:  # no thread can be started
+            self.log.error("cannot start a thread for a connection", why=str(error))
             self._end(connection)
 
     def _end(self, connection: Connection) -> None:
-        """The one place where a connection is closed and its place in the table given back."""
+        """The only place that closes a connection and releases its slot in the table."""
         with self.lock:
             self.connections.pop(connection.sock.fileno(), None)
             connection.sock.close()
         self.room.release()
 
     def _make_room(self) -> None:
-        """Where all that may be open are: closes the oldest that never said anything, else the one idle longest,
-        else the oldest in the middle of its first message. What has just connected is spared: its RPC is most
-        likely on the way. Where much has just connected no known one is closed: a flood would else push out all
-        of them."""
+        """Closes a connection when the table is full.
+
+        Chooses the oldest that has sent nothing, else the one that has been idle longest, else the oldest that is
+        still sending its first message. Connections that were just opened are spared, since their RPC is probably in
+        transit. While many connections are new, no established one is closed; a flood would otherwise evict them
+        all.
+        """
         with self.lock:
             new = [c for c in self.connections.values() if not c.proven and not c.hung_up]
             old = [c for c in new if time.monotonic() - c.begun > SETTLE_S]
-            silent = [c for c in old if c.idle_since]
-            if not silent and len(new) < FLOOD * self.most:
-                silent = [c for c in self.connections.values() if c.proven and c.idle_since]
-            if silent:
-                self._hang_up(min(silent, key=lambda connection: connection.idle_since))
+            candidates = [c for c in old if c.idle_since]
+            if not candidates and len(new) < FLOOD * self.most:
+                candidates = [c for c in self.connections.values() if c.proven and c.idle_since]
+            if candidates:
+                self._hang_up(min(candidates, key=lambda connection: connection.idle_since))
             elif old:
                 self._hang_up(min(old, key=lambda connection: connection.begun))
 
     def _hang_up(self, connection: Connection) -> None:
-        # reading side only: an RPC that crosses this close is read all the same, and answered
+        # shuts the reading side only: an RPC that is in transit is still read and answered
         connection.hung_up, connection.resting, connection.idle_since = True, connection.idle_since > 0, 0.0
         with contextlib.suppress(OSError):
             connection.sock.shutdown(socket.SHUT_RD)
 
     def count(self) -> int:
+        """Returns the number of open connections."""
         with self.lock:
             return len(self.connections)
 
     def close(self) -> None:
-        """No new connections; those that wait to be accepted are served, idle ones closed."""
+        """Stops accepting. Connections that wait to be accepted are still served; idle ones are closed."""
         self.closing = True
         with contextlib.suppress(OSError):
-            # guards against a connection that the kernel takes between the last accept and the close, which
-            # would reset it with an RPC on it: what comes now is dropped, and refused when it comes again
+            # a connection that the kernel completes between the last accept and the close would be reset with an
+            # RPC on it; this filter drops new connection attempts, and their retransmission is refused
             drop = ctypes.create_string_buffer(struct.pack("HBBI", 6, 0, 0, 0))
             self.listener.setsockopt(socket.SOL_SOCKET, ATTACH_FILTER,
                                      struct.pack("HP", 1, ctypes.addressof(drop)))
@@ -158,25 +165,25 @@
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
         if self.acceptor is not None:
-            # guards a connection that was taken and is not in the table yet: whoever drains counts the table
+            # an accepted connection may not be in the table yet, and the drain waits for the table to be empty
             self.acceptor.join(HANDED_OVER_S)
 
-    def _accept_waiting(self, until: float) -> None:
-        """Takes what waits to be accepted; idle connections end meanwhile, so that descriptors come free.
+    def _accept_waiting(self, deadline: float) -> None:
+        """Accepts the connections that wait; idle connections are closed meanwhile, which frees descriptors.
 
         Raises:
-            OSError: nothing waits any more, or there is no room for it in time.
+            OSError: no connection waits any more, or no descriptor became free in time.
         """
         while True:
             try:
                 self._begin(self.listener.accept()[0])
-            except OSError as bad:
-                if bad.errno not in SPENT or time.monotonic() > until:
+            except OSError as error:
+                if error.errno not in SPENT or time.monotonic() > deadline:
                     raise
                 time.sleep(AGAIN_S)
 
     def stop(self) -> None:
-        """Ends every connection, whatever is open on it."""
+        """Shuts down every connection, even with open RPCs."""
         self.stopped = True
         with self.lock:
             for connection in self.connections.values():
@@ -184,25 +191,26 @@
                     connection.sock.shutdown(socket.SHUT_RDWR)
 
     def watch_forever(self) -> None:
-        """Tells of callers that close while their RPC is open; closes connections past the idle limit."""
-        swept = 0.0
+        """Reports callers that close during an RPC to the driver, and closes idle connections."""
+        checked_at = 0.0
         while not self.stopped:
             events = self.epoll.poll(SWEEP_S)
-            for number, _ in events:
+            for descriptor, _ in events:
                 with self.lock:
-                    connection = self.connections.get(number)
-                    # the number may be another connection's by now; our own hanging up looks like a close
+                    connection = self.connections.get(descriptor)
+                    # the descriptor may belong to another connection by now; our own shutdown looks like a close
                     if connection is None or connection.hung_up or not closed_by_peer(connection.sock):
                         continue
                     connection.closed, exchange = True, connection.exchange
                 if exchange is not None:
                     self.driver.gone(exchange)
             now = time.monotonic()
-            if now - swept >= SWEEP_S:
-                swept = now
+            if now - checked_at >= SWEEP_S:
+                checked_at = now
                 self._sweep(now)
 
     def _sweep(self, now: float) -> None:
+        """Closes connections that exceed the idle limit, or all idle ones during shutdown."""
         limit = self.driver.idle / 1e6
         with self.lock:
             for connection in self.connections.values():
@@ -210,7 +218,7 @@
                     self.counters.add("clients.idle_closed")
                     self._hang_up(connection)
 
-    # One connection
+    # Serving one connection
 
     def _connection(self, connection: Connection) -> None:
         try:
@@ -221,84 +229,84 @@
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             bound(sock, socket.SO_SNDTIMEO, TAKE_S)
-            self.epoll.register(sock.fileno(), select.EPOLLRDHUP | select.EPOLLET)  # until its close
+            self.epoll.register(sock.fileno(), select.EPOLLRDHUP | select.EPOLLET)  # removed when it is closed
             stream = CallerStream(connection, buffer)
-            until: float | None = connection.begun + FIRST_S
-            while stream.more(until) if stream.empty() else True:
+            deadline: float | None = connection.begun + FIRST_S
+            while stream.more(deadline) if stream.empty() else True:
                 connection.idle_since = 0.0
-                if not self._message(connection, stream, until or time.monotonic() + SLOW_S):
+                if not self._message(connection, stream, deadline or time.monotonic() + SLOW_S):
                     self._linger(connection, stream)
                     break
-                until, connection.idle_since = None, time.monotonic()
+                deadline, connection.idle_since = None, time.monotonic()
         except TimeoutError:
             self.counters.add("clients.silent")
         except OSError:
             self.counters.add("clients.broken")
         except Exception:
             self.counters.add("clients.crashed")
-            self.log.exception("a connection's thread failed")
+            self.log.exception("connection thread failed")
         finally:
             self.pool.give_back(buffer)
             self._end(connection)
 
     def _linger(self, connection: Connection, stream: Stream) -> None:
-        """Guards the last answer against the reset that a close with unread input sends."""
+        """Reads until the client closes: closing with unread input sends a reset, which may drop the last answer."""
         connection.sock.shutdown(socket.SHUT_WR)
-        until = time.monotonic() + LINGER_S
+        deadline = time.monotonic() + LINGER_S
         stream.drop()
-        while stream.more(until):
+        while stream.more(deadline):
             stream.drop()
 
-    def _message(self, connection: Connection, stream: Stream, until: float) -> bool:
-        """Reads and answers one message; whether the connection stays open."""
-        keep = False
+    def _message(self, connection: Connection, stream: Stream, deadline: float) -> bool:
+        """Reads and answers one message; returns whether the connection stays open."""
+        keep_alive = False
         try:
-            request = read_request(stream, until)
-            keep, connection.proven = request.keep, True
+            request = read_request(stream, deadline)
+            keep_alive, connection.proven = request.keep, True
             answer = self._answer(connection, request)
-        except Bad as bad:
-            keep, answer = False, (bad.status, {}, b"")
-            self.counters.add(f"clients.bad.{bad.status}")
-            self.log.warning("bad message from a client", status=bad.status, why=str(bad))
+        except Bad as error:
+            keep_alive, answer = False, (error.status, {}, b"")
+            self.counters.add(f"clients.bad.{error.status}")
+            self.log.warning("invalid message from a client", status=error.status, why=str(error))
         except Broken:
             self.counters.add("clients.stopped_half_way")
-            answer = (400, {}, b"")  # owed where only the sending side was closed
+            answer = (400, {}, b"")  # the client may have closed only its sending side
         except TimeoutError:
             self.counters.add("clients.slow")
             answer = (408, {}, b"")
         except OSError:
-            raise  # reset: nobody is there to be answered
+            raise  # reset: no answer can be sent
         except Exception:
-            # whatever is wrong here, the RPC gets its answer
+            # the RPC must be answered whatever fails here
             self.counters.add("clients.crashed")
-            self.log.exception("an RPC's thread failed")
-            keep, answer = False, (500, {}, b"")
+            self.log.exception("RPC handling failed")
+            keep_alive, answer = False, (500, {}, b"")
         if answer is None:
             return False
-        # what a caller sent behind it, and is here already, is owed an answer too: by the last the connection ends
+        # pipelined messages that have arrived must be answered too; the last answer closes the connection
         if self.closing:
-            keep = keep and (not stream.empty() or unread(connection.sock))
+            keep_alive = keep_alive and (not stream.empty() or unread(connection.sock))
         else:
-            keep = keep and not connection.hung_up
+            keep_alive = keep_alive and not connection.hung_up
         status, fields, body = answer
-        said = self.driver.said
-        if said is not None:
-            fields["X-Load-Signal"] = f"{said:.4f}"
-        connection.sock.sendall(write_response(status, fields, body, keep))
+        load_signal = self.driver.said
+        if load_signal is not None:
+            fields["X-Load-Signal"] = f"{load_signal:.4f}"
+        connection.sock.sendall(write_response(status, fields, body, keep_alive))
         self.counters.add(f"clients.answers.{status}")
-        return keep
+        return keep_alive
 
     def _answer(self, connection: Connection, request: Request) -> Answer | None:
         if request.path == "/status/live":
             if request.verb != "GET":
-                raise Bad(405, "health checks are asked by GET")
+                raise Bad(405, "health checks must use GET")
             return self._health("deep=1" in request.query.split("&"))
         prefix, _, name = request.path.rpartition("/")
         name = plain(name)
         if prefix != "/svc" or name not in self.methods:
-            raise Bad(404, "an unknown path or method")
+            raise Bad(404, "unknown path or method")
         if request.verb != "POST":
-            raise Bad(405, "RPCs come by POST")
+            raise Bad(405, "RPCs must use POST")
         return self._rpc(connection, request, name)
 
     def _health(self, deep: bool) -> Answer:
@@ -306,42 +314,47 @@
         healthy = self.driver.healthy
         return (200 if healthy and (not deep or self.link.smoke(DEEP_S)) else 503), {}, b""
 
-    # One RPC, from top to bottom
+    # Serving one RPC
 
     def _rpc(self, connection: Connection, request: Request, name: str) -> Answer | None:
+        """Serves one RPC; returns its answer, or None if the caller disconnected.
+
+        Raises:
+            HttpError: the request is invalid.
+        """
         given, method = rpc_fields(request.fields), self.methods[name]
         if method.kind is Kind.TOKENED and given.token is None:
             raise Bad(400, "idempotency-key is missing")
-        waited, deadline_ms = time.time_ns() // 1000 - given.start_ms * 1000, method.deadline // 1000
-        if not -AHEAD_MS <= waited // 1000 <= deadline_ms + BEHIND_MS:
-            raise Bad(400, "x-request-start is far off")  # guards what the module learns of unread times
+        unread_time, deadline_ms = time.time_ns() // 1000 - given.start_ms * 1000, method.deadline // 1000
+        if not -AHEAD_MS <= unread_time // 1000 <= deadline_ms + BEHIND_MS:
+            raise Bad(400, "x-request-start is out of range")  # it would distort the learned unread times
         if given.timeout_ms is not None and given.timeout_ms > PATIENT * deadline_ms:
             raise Bad(400, "x-timeout-ms is out of range")
-        waited = max(0, waited)
-        patience = max(1, given.timeout_ms * 1000 - waited) if given.timeout_ms is not None else 0
-        rpc = Rpc(method, given.caller, None, given.memory_kb, patience, waited, given.further)
-        token = (name, given.token) if method.kind is Kind.TOKENED and given.token else None
-        exchange = Exchange(rpc, given.ident, token, request.body if token else b"")
-        refused = self.driver.arrived(exchange)
-        if refused:
-            raise Bad(400, refused)
+        unread_time = max(0, unread_time)
+        timeout = max(1, given.timeout_ms * 1000 - unread_time) if given.timeout_ms is not None else 0
+        rpc = Rpc(method, given.caller, None, given.memory_kb, timeout, unread_time, given.further)
+        key = (name, given.token) if method.kind is Kind.TOKENED and given.token else None
+        exchange = Exchange(rpc, given.ident, key, request.body if key else b"")
+        error = self.driver.arrived(exchange)
+        if error:
+            raise Bad(400, error)
         self.counters.add("rpc.read")
         try:
             self._watch(connection, exchange)
-            latest = (patience or method.deadline) / 1e6 + OVERDUE_S
+            event_timeout = (timeout or method.deadline) / 1e6 + OVERDUE_S
             while True:
-                word = _word(exchange, latest)
-                if isinstance(word, Gone):
+                event = _word(exchange, event_timeout)
+                if isinstance(event, Gone):
                     return None
-                if isinstance(word, Ended):
-                    good = word.outcome is Outcome.OK
-                    self.counters.add("rpc.ok" if good else "rpc.aborted")
-                    return (200, {}, word.result) if good else (500, {}, b"")
-                match word.do:
+                if isinstance(event, Ended):
+                    succeeded = event.outcome is Outcome.OK
+                    self.counters.add("rpc.ok" if succeeded else "rpc.aborted")
+                    return (200, {}, event.result) if succeeded else (500, {}, b"")
+                match event.do:
                     case Do.PUSH_BACK:
                         self.counters.add("rpc.pushed_back")
-                        fields = {"Retry-After-Ms": str(-(-word.span // 1000))} if word.span > 0 else {}
-                        return 503, fields | ({"X-Dont-Retry": "1"} if word.flag else {}), b""
+                        fields = {"Retry-After-Ms": str(-(-event.span // 1000))} if event.span > 0 else {}
+                        return 503, fields | ({"X-Dont-Retry": "1"} if event.flag else {}), b""
                     case Do.ABORT:
                         self.counters.add("rpc.aborted")
                         return 500, {}, b""
@@ -349,7 +362,7 @@
                         self.link.apply(exchange.ident, name, request.body)
                         exchange.applied = True
                     case Do.CALL:
-                        self._call(exchange, word.span)
+                        self._call(exchange, event.span)
                     case Do.SKIP:
                         self.link.stub(exchange.ident, exchange.at_call[0])
                     case Do.JOIN:
@@ -357,23 +370,25 @@
                     case Do.HALT:
                         self.link.halt(exchange.ident)
         except Empty:
-            self.log.error("an RPC got no word in time", rpc=exchange.ident, place=rpc.place)
+            self.log.error("no decision for an RPC in time", rpc=exchange.ident, place=rpc.place)
             return 500, {}, b""
         finally:
             self._unwatch(connection)
             self.driver.left(exchange)
 
-    def _call(self, exchange: Exchange, span: int) -> None:
-        begun = clock()
-        outcome, reply = self.ledger.post(exchange.ident, span, exchange.at_call[1],
+    def _call(self, exchange: Exchange, limit_us: int) -> None:
+        """Makes the downstream call that the run waits for and passes its reply to the run."""
+        started_at = clock()
+        outcome, reply = self.ledger.post(exchange.ident, limit_us, exchange.at_call[1],
                                           lambda cancel: self.driver.calling(exchange, cancel))
-        if self.driver.called(exchange, outcome, clock() - begun) and outcome is Outcome.OK:
+        if self.driver.called(exchange, outcome, clock() - started_at) and outcome is Outcome.OK:
             self.link.resolve(exchange.ident, reply)
 
     def _watch(self, connection: Connection, exchange: Exchange) -> None:
+        """From now on a close of the connection is reported for this RPC."""
         with self.lock:
             connection.exchange = exchange
-            closed = connection.closed  # behind the message, before it was read
+            closed = connection.closed  # after it sent the message, before we read it
         if closed:
             self.driver.gone(exchange)
 
@@ -382,13 +397,14 @@
             connection.exchange = None
 
 
-def _word(exchange: Exchange, latest: float) -> Word:
-    """
+def _word(exchange: Exchange, timeout: float) -> Word:
+    """Waits up to `timeout` seconds for the next event of an RPC.
+
     Raises:
-        Empty: none came, though the module had its turn.
+        Empty: no event came, though the decision module had time to act.
     """
     try:
-        return exchange.mailbox.get(timeout=latest)
+        return exchange.mailbox.get(timeout=timeout)
     except Empty:
-        # where the whole process was stopped for long, this wait ends before the module has looked at what is due
+        # after a long suspension of the process this wait ends before the module has handled what is due
         return exchange.mailbox.get(timeout=OVERDUE_S)
--- a/hollystage/service/connection.py
+++ b/hollystage/service/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection, the stream read from it, and what the system tells of its other side."""
+"""State of a client connection, the stream that reads it, and checks of its socket."""
 from __future__ import annotations
 
 import contextlib
@@ -9,48 +9,50 @@
 from .buffers import Stream
 from .exchange import Exchange
 
-CROSSING_S, CROSSING_STEP_S = 0.5, 0.01  # for the rest of a message that crosses our closing; between two looks
-RESERVED = 12  # descriptors that neither clients nor calls may take: the listener, the link, reports, files
+# wait for the rest of a message that was in transit when we shut the reading side; interval between two polls
+CROSSING_S, CROSSING_STEP_S = 0.5, 0.01
+RESERVED = 12  # descriptors kept for the listener, the interpreter link, reports and files
 
 
 class Connection:
-    """One client's connection; all but the socket is guarded by the lock of the table that it stands in."""
+    """A client connection. All fields but the socket are guarded by the lock of the connection table."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self.begun = self.idle_since = time.monotonic()  # the latter 0 while a message is read or answered
-        self.proven = False  # a whole message was read on it
-        self.hung_up = False  # by us: what crosses that is answered all the same
-        self.resting = False  # it was idle when we hung up: a message that was on its way may still come whole
-        self.closed = False  # by the caller
+        self.begun = self.idle_since = time.monotonic()  # idle_since is 0 while a message is handled
+        self.proven = False  # at least one whole message was read
+        self.hung_up = False  # by us; a message in transit is still answered
+        self.resting = False  # it was idle when we shut it: a message in transit may still be completed
+        self.closed = False  # the caller closed its side
         self.exchange: Exchange | None = None
 
 
 class CallerStream(Stream):
-    """Reads on where we hung up while a message was on its way.
+    """Completes a message that was in transit when we shut the reading side of an idle connection.
 
-    Once the reading side is shut, a receipt no longer waits; what the other side sends arrives all the same.
+    After SHUT_RD a receive no longer blocks, but data that the peer sends still arrives, so this stream polls.
     """
 
     def __init__(self, connection: Connection, buffer: bytearray) -> None:
         super().__init__(connection.sock, buffer)
         self.connection = connection
 
-    def more(self, until: float | None) -> bool:
-        if super().more(until):
+    def more(self, deadline: float | None) -> bool:
+        """Receives as `Stream.fill` does, and polls for the rest of a message after SHUT_RD."""
+        if super().more(deadline):
             return True
         if self.empty() or not self.connection.resting:
             return False
-        latest = time.monotonic() + CROSSING_S
-        while time.monotonic() < (latest if until is None else min(latest, until)):
+        poll_deadline = time.monotonic() + CROSSING_S
+        while time.monotonic() < (poll_deadline if deadline is None else min(poll_deadline, deadline)):
             time.sleep(CROSSING_STEP_S)
-            if super().more(until):
+            if super().more(deadline):
                 return True
         return False
 
 
 def most_clients(sockets: int, calls: int) -> int:
-    """How many connections clients may have of the process's descriptors, `calls` of which are for calls below.
+    """Maximum number of client connections, of `sockets` descriptors with `calls` of them for downstream calls.
 
     >>> most_clients(1024, 128), most_clients(32, 4)
     (704, 16)
@@ -59,14 +61,14 @@
 
 
 def unread(sock: socket.socket) -> bool:
-    """Whether bytes lie unread."""
+    """Whether the socket has unread bytes."""
     with contextlib.suppress(BlockingIOError):
         return bool(sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
     return False
 
 
 def closed_by_peer(sock: socket.socket) -> bool:
-    """Whether the other side has closed, whatever it sent before."""
+    """Whether the peer has closed its side, even if data that it sent before is unread."""
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
     return bool(poll.poll(0))
