--- a/hollystage/service/buffers.py
+++ b/hollystage/service/buffers.py
@@ -1,4 +1,4 @@
-"""Buffers of one size, used again from a pool, and the stream that fills one from a socket."""
+"""A pool of receive buffers of one size, and a stream that reads from a socket through one of them."""
 from __future__ import annotations
 
 import socket
@@ -7,66 +7,75 @@
 import time
 from math import ceil
 
-SPARE = 64  # buffers kept for the next; a crowd's are given back to the system
-SIZE = 16 * 1024  # a head and a body of the largest message, or a line with the largest result
+SPARE = 64  # more buffers, as after a burst of connections, are returned to the system
+SIZE = 16 * 1024  # fits the head and body of the largest message, or an interpreter line with the largest result
 
 
 class Pool:
-    """Owns the buffers; who takes one gives it back in the one place that ends its connection."""
+    """Buffers for reuse. A connection releases its buffer at the one place where the connection ends."""
 
     def __init__(self) -> None:
         self.free: list[bytearray] = []
         self.lock = threading.Lock()
 
     def take(self) -> bytearray:
+        """Returns a free buffer, or a new one."""
         with self.lock:
             if self.free:
                 return self.free.pop()
         return bytearray(SIZE)
 
     def give_back(self, buffer: bytearray) -> None:
+        """Returns a buffer to the pool."""
         with self.lock:
             if len(self.free) < SPARE:
                 self.free.append(buffer)
 
 
-def bound(sock: socket.socket, option: int, span: float) -> None:
-    """Bounds each receipt or each sending, of a connection too; 0 for none. By the kernel: with a time-out of
-    Python's own every call asks poll first."""
-    sock.setsockopt(socket.SOL_SOCKET, option, struct.pack("ll", int(span), int(span % 1 * 1e6)))
+def bound(sock: socket.socket, option: int, seconds: float) -> None:
+    """Sets SO_RCVTIMEO or SO_SNDTIMEO, in seconds; 0 means no timeout. SO_SNDTIMEO also bounds connect().
+
+    The kernel's timeout is used because with a timeout of Python's socket module every call polls first.
+    """
+    sock.setsockopt(socket.SOL_SOCKET, option, struct.pack("ll", int(seconds), int(seconds % 1 * 1e6)))
 
 
 class TooLong(Exception):
-    """What is looked for does not end within its limit."""
+    """The delimiter was not found within the size limit."""
 
 
 class Broken(Exception):
-    """The other side ended the connection within a message."""
+    """The peer closed the connection within a message."""
 
 
 class Stream:
-    """What one socket received and nobody has used yet; times are of the monotonic clock."""
+    """Reads from one socket through a buffer. Deadlines are seconds of the monotonic clock; None means no limit."""
 
     def __init__(self, sock: socket.socket, buffer: bytearray) -> None:
         self.sock, self.view, self.buffer = sock, memoryview(buffer), buffer
-        self.start = self.end = 0
-        self.limit = 0  # of the next receipt, in hundredths of a second; 0 for none
+        self.start = self.end = 0  # of the received bytes that have not been consumed
+        self.limit = 0  # receive timeout set on the socket, in hundredths of a second; 0 means none
+
+    def more(self, deadline: float | None) -> bool:
+        """Receives whatever is available; returns False at the end of the stream.
 
-    def more(self, until: float | None) -> bool:
-        """Receives what there is; False at the end of the stream."""
+        Raises:
+            MessageTooLongError: the buffer is full.
+            TimeoutError: nothing arrived before the deadline.
+        """
         if self.start:
             self.view[:self.end - self.start] = self.view[self.start:self.end]
             self.start, self.end = 0, self.end - self.start
         if self.end == len(self.view):
             raise TooLong
-        limit = 0
-        if until is not None:
-            limit = ceil(100 * (until - time.monotonic()))
-            if limit <= 0:
+        timeout_cs = 0
+        if deadline is not None:
+            timeout_cs = ceil(100 * (deadline - time.monotonic()))
+            if timeout_cs <= 0:
                 raise TimeoutError
-        if limit != self.limit:
-            self.limit = limit
-            bound(self.sock, socket.SO_RCVTIMEO, limit / 100)
+        if timeout_cs != self.limit:
+            self.limit = timeout_cs
+            bound(self.sock, socket.SO_RCVTIMEO, timeout_cs / 100)
         try:
             count = self.sock.recv_into(self.view[self.end:])
         except BlockingIOError:
@@ -75,41 +84,59 @@
         return count > 0
 
     def empty(self) -> bool:
+        """Whether all received bytes are consumed."""
         return self.start == self.end
 
     def drop(self) -> None:
-        """Forgets what was received and not used."""
+        """Drops the received bytes that are not consumed."""
         self.start = self.end = 0
 
-    def upto(self, mark: bytes, limit: int, until: float | None) -> bytes:
-        """All up to the mark and with it, of no more than `limit` bytes."""
-        at = self.start
+    def upto(self, delimiter: bytes, limit: int, deadline: float | None) -> bytes:
+        """Reads up to and including the delimiter, at most `limit` bytes.
+
+        Raises:
+            MessageTooLongError: the delimiter is not within the limit.
+            IncompleteMessageError: the stream ended before it.
+            TimeoutError: the deadline passed.
+        """
+        position = self.start
         while True:
-            found = self.buffer.find(mark, at, min(self.end, self.start + limit))
+            found = self.buffer.find(delimiter, position, min(self.end, self.start + limit))
             if found >= 0:
-                return self._use(found + len(mark) - self.start)
+                return self._use(found + len(delimiter) - self.start)
             if self.end - self.start >= limit:
                 raise TooLong
-            looked = max(0, self.end - self.start - len(mark) + 1)
-            if not self.more(until):
+            searched = max(0, self.end - self.start - len(delimiter) + 1)
+            if not self.more(deadline):
                 raise Broken
-            at = self.start + looked
+            position = self.start + searched
+
+    def past(self, delimiter: bytes, deadline: float) -> None:
+        """Drops everything up to and including the delimiter, however long it is.
 
-    def past(self, mark: bytes, until: float) -> None:
-        """Drops all up to the mark and with it, however much that is."""
-        while (found := self.buffer.find(mark, self.start, self.end)) < 0:
+        Raises:
+            IncompleteMessageError: the stream ended before it.
+            TimeoutError: the deadline passed.
+        """
+        while (found := self.buffer.find(delimiter, self.start, self.end)) < 0:
             self.drop()
-            if not self.more(until):
+            if not self.more(deadline):
                 raise Broken
-        self.start = found + len(mark)
+        self.start = found + len(delimiter)
+
+    def exactly(self, size: int, deadline: float | None) -> bytes:
+        """Reads `size` bytes.
 
-    def exactly(self, size: int, until: float | None) -> bytes:
+        Raises:
+            IncompleteMessageError: the stream ended before that.
+            TimeoutError: the deadline passed.
+        """
         while self.end - self.start < size:
-            if not self.more(until):
+            if not self.more(deadline):
                 raise Broken
         return self._use(size)
 
     def _use(self, size: int) -> bytes:
-        taken = bytes(self.view[self.start:self.start + size])
+        consumed = bytes(self.view[self.start:self.start + size])
         self.start += size
-        return taken
+        return consumed
--- a/hollystage/service/http.py
+++ b/hollystage/service/http.py
@@ -1,4 +1,4 @@
-"""Messages of HTTP/1.1, as far as the service speaks it: read from a stream, written as bytes."""
+"""The subset of HTTP/1.1 that the service uses: parsing from a stream and encoding as bytes."""
 from __future__ import annotations
 
 import re
@@ -10,13 +10,13 @@
 REQUEST_LINE = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+) ([\x21-\x7e]+) HTTP/1\.([01])\r\n")
 STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [^\x00-\x08\x0a-\x1f\x7f]*)?\r\n")
 FIELD = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*([^\x00-\x08\x0a-\x1f\x7f]*?)[ \t]*\r\n")
-FORMS = {name: re.compile(form, re.ASCII).fullmatch for name, form in {
+FORMS = {name: re.compile(pattern, re.ASCII).fullmatch for name, pattern in {
     "x-request-id": r"[0-9A-Fa-f]{16}", "x-request-start": r"\d{1,15}", "x-caller": r"\d{1,9}",
     "x-memory-kb": r"\d{1,4}(\.\d{1,20})?", "x-timeout-ms": r"\d{1,9}", "x-retry": r"[01]",
     "x-rank": r"0(\.\d{1,20})?", "x-object": r"[\x21-\x7e]{1,128}", "idempotency-key": r"[\x21-\x7e]{1,128}",
 }.items()}
 NEEDED = {"x-request-id", "x-request-start", "x-caller", "x-memory-kb"}
-ONCE = {"content-length", "host", "transfer-encoding", *FORMS}  # two of these could be read two ways
+ONCE = {"content-length", "host", "transfer-encoding", *FORMS}  # a repeated one would be ambiguous
 ESCAPE = re.compile(rb"%([0-9A-Fa-f]{2})")
 REASONS = {200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
            408: "Request Timeout", 411: "Length Required", 413: "Content Too Large",
@@ -25,7 +25,7 @@
 
 
 class Bad(Exception):
-    """A message that cannot be taken; `status` answers it where an answer is owed."""
+    """A malformed or unacceptable message; `status` is the status code for the answer, if one is sent."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -33,6 +33,8 @@
 
 
 class Request(NamedTuple):
+    """A request; names of `fields` are in lower case."""
+
     verb: str
     path: str
     query: str
@@ -42,6 +44,8 @@
 
 
 class Response(NamedTuple):
+    """A response; names of `fields` are in lower case."""
+
     status: int
     fields: dict[str, str]
     body: bytes
@@ -49,7 +53,7 @@
 
 
 class RpcFields(NamedTuple):
-    """What the headers of an RPC say."""
+    """The checked header fields of an RPC; None for an optional field that is absent."""
 
     ident: str
     start_ms: int
@@ -60,77 +64,90 @@
     token: str | None
 
 
-def _fields(head: bytes, at: int) -> dict[str, str]:
+def _fields(head: bytes, position: int) -> dict[str, str]:
     fields: dict[str, str] = {}
-    while at < len(head) - 2:
-        match = FIELD.match(head, at)
+    while position < len(head) - 2:
+        match = FIELD.match(head, position)
         if match is None:
             raise Bad(400, "a malformed header field")
         name, value = match[1].decode("ascii").lower(), match[2].decode("latin-1")
         if name in fields:
             if name in ONCE:
-                raise Bad(400, f"two fields {name}")
+                raise Bad(400, f"repeated field {name}")
             value = f"{fields[name]}, {value}"
         fields[name] = value
-        at = match.end()
+        position = match.end()
     return fields
 
 
 def _length(fields: dict[str, str], limit: int) -> int:
     if "transfer-encoding" in fields:
-        raise Bad(411, "a body without a stated length")
+        raise Bad(411, "a body without Content-Length")
     text = fields.get("content-length", "0")
     if not text.isascii() or not text.isdigit():
         raise Bad(400, "a malformed Content-Length")
     if len(text.lstrip("0")) > 9 or int(text) > limit:
-        raise Bad(413, "a body over the limit")
+        raise Bad(413, "the body exceeds the size limit")
     return int(text)
 
 
-def _keeps(minor: bytes, fields: dict[str, str]) -> bool:
-    words = {word.strip() for word in fields.get("connection", "").lower().split(",")}
-    return "close" not in words and (minor == b"1" or "keep-alive" in words)
+def _keeps(minor_version: bytes, fields: dict[str, str]) -> bool:
+    options = {option.strip() for option in fields.get("connection", "").lower().split(",")}
+    return "close" not in options and (minor_version == b"1" or "keep-alive" in options)
 
 
-def read_request(stream: Stream, until: float) -> Request:
+def read_request(stream: Stream, deadline: float) -> Request:
+    """Reads a request.
+
+    Raises:
+        HttpError: the request is malformed, too large or not supported.
+        IncompleteMessageError: the connection ended within it.
+        TimeoutError: the deadline passed.
+    """
     try:
-        head = stream.upto(b"\r\n\r\n", HEAD, until)
+        head = stream.upto(b"\r\n\r\n", HEAD, deadline)
     except TooLong:
-        raise Bad(431, "a head over the limit") from None
+        raise Bad(431, "the head exceeds the size limit") from None
     match = REQUEST_LINE.match(head)
     if match is None:
         raise Bad(400, "a malformed request line")
     fields = _fields(head, match.end())
     size = _length(fields, REQUEST_BODY)
     if "expect" in fields:
-        raise Bad(417, "an Expect field")
-    body = stream.exactly(size, until)
+        raise Bad(417, "Expect is not supported")
+    body = stream.exactly(size, deadline)
     path, _, query = match[2].decode("ascii").partition("?")
     return Request(match[1].decode("ascii"), path, query, fields, body, _keeps(match[3], fields))
 
 
-def read_response(stream: Stream, until: float) -> Response:
-    """Any malformed response is Bad; interim ones are passed over."""
+def read_response(stream: Stream, deadline: float) -> Response:
+    """Reads a response; interim (1xx) responses are skipped.
+
+    Raises:
+        HttpError: the response is malformed or too large.
+        IncompleteMessageError: the connection ended within it.
+        TimeoutError: the deadline passed.
+    """
     try:
         while True:
-            head = stream.upto(b"\r\n\r\n", HEAD, until)
+            head = stream.upto(b"\r\n\r\n", HEAD, deadline)
             match = STATUS_LINE.match(head)
             if match is None:
                 raise Bad(400, "a malformed status line")
             fields, status = _fields(head, match.end()), int(match[2])
             if status >= 200:
                 break
-        bare = status == 204 or "content-length" not in fields and "transfer-encoding" not in fields
-        if bare and status != 204:
-            raise Bad(411, "a response without a stated length")
-        body = b"" if bare else stream.exactly(_length(fields, RESPONSE_BODY), until)
+        no_body = status == 204 or "content-length" not in fields and "transfer-encoding" not in fields
+        if no_body and status != 204:
+            raise Bad(411, "a response without Content-Length")
+        body = b"" if no_body else stream.exactly(_length(fields, RESPONSE_BODY), deadline)
     except TooLong:
-        raise Bad(431, "a head over the limit") from None
+        raise Bad(431, "the head exceeds the size limit") from None
     return Response(status, fields, body, _keeps(match[1], fields))
 
 
 def rpc_fields(fields: dict[str, str]) -> RpcFields:
-    """Checks the headers of an RPC.
+    """Parses and checks the header fields of an RPC.
 
     >>> given = {"x-request-id": "9b1f03aa5c7e2d41", "x-request-start": "1764576000123", "x-caller": "4"}
     >>> rpc_fields(given | {"x-memory-kb": "24.5", "x-retry": "1"})[2:]
@@ -138,10 +155,13 @@
     >>> rpc_fields(given | {"x-memory-kb": "2000"})
     Traceback (most recent call last):
     hollystage.service.http.Bad: x-memory-kb is missing or malformed
+
+    Raises:
+        HttpError: status 400, naming the first field that is missing or malformed.
     """
-    for name, form in FORMS.items():
+    for name, matches in FORMS.items():
         text = fields.get(name)
-        if name in NEEDED if text is None else not form(text):
+        if name in NEEDED if text is None else not matches(text):
             raise Bad(400, f"{name} is missing or malformed")
     memory, timeout = float(fields["x-memory-kb"]), fields.get("x-timeout-ms")
     if not 0 < memory < 2000:
@@ -152,7 +172,7 @@
 
 
 def plain(text: str) -> str:
-    """A part of a path as it was before it was escaped; what is no valid escape or no UTF-8 stays as it is.
+    """Decodes the percent-encoding of a path segment. Invalid escapes, and text that is not UTF-8, stay as they are.
 
     >>> plain("find"), plain("zone%20map"), plain("caf%C3%A9"), plain("50%"), plain("%ff"), plain("%2g")
     ('find', 'zone map', 'café', '50%', '%ff', '%2g')
@@ -165,15 +185,17 @@
         return text
 
 
-def write_response(status: int, fields: dict[str, str], body: bytes, keep: bool) -> bytes:
+def write_response(status: int, fields: dict[str, str], body: bytes, keep_alive: bool) -> bytes:
+    """Encodes a response; adds Content-Length, and Connection: close unless the connection is kept open."""
     lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}", f"Content-Length: {len(body)}"]
     lines += [f"{name}: {value}" for name, value in fields.items()]
-    if not keep:
+    if not keep_alive:
         lines.append("Connection: close")
     return "\r\n".join([*lines, "\r\n"]).encode("ascii") + body
 
 
 def write_request(verb: str, path: str, host: str, fields: dict[str, str], body: bytes) -> bytes:
+    """Encodes a request; adds Host and Content-Length."""
     lines = [f"{verb} {path} HTTP/1.1", f"Host: {host}", f"Content-Length: {len(body)}"]
     lines += [f"{name}: {value}" for name, value in fields.items()]
     return "\r\n".join([*lines, "\r\n"]).encode("ascii") + body
