--- a/hollystage/service/exchange.py
+++ b/hollystage/service/exchange.py
@@ -1,4 +1,4 @@
-"""One RPC between the thread that serves it, the module and its run; and the words that reach that thread."""
+"""One RPC between the thread that serves it, the decision module and its run, and the events for that thread."""
 from __future__ import annotations
 
 from collections.abc import Callable
@@ -8,18 +8,18 @@
 
 from ..interface import Action, Outcome, Rpc
 
-Token = tuple[str, str]  # method and key
+Token = tuple[str, str]  # method name and value of Idempotency-Key
 
 
 class Ended(NamedTuple):
-    """The end of a run, or of what joined one."""
+    """How a run, or the run that this RPC joined, ended, and its result."""
 
     outcome: Outcome
     result: bytes
 
 
 class Gone:
-    """The caller has closed."""
+    """The caller closed its connection."""
 
 
 GONE = Gone()
@@ -27,27 +27,29 @@
 
 
 class Exchange:
-    """One RPC, between the thread that serves it, the module and its run."""
+    """One RPC, shared by its thread, the decision module and its run."""
 
     __slots__ = ("rpc", "ident", "token", "digest", "earlier", "mailbox", "served", "applied", "ended",
                  "at_call", "cancel")
 
-    def __init__(self, rpc: Rpc, ident: str, token: Token | None, body: bytes) -> None:
-        self.rpc, self.ident, self.token = rpc, ident, token
-        self.digest = blake2b(body, digest_size=16).digest() if token else b""
+    def __init__(self, rpc: Rpc, request_id: str, key: Token | None, body: bytes) -> None:
+        self.rpc, self.ident, self.token = rpc, request_id, key
+        self.digest = blake2b(body, digest_size=16).digest() if key else b""
         self.earlier: Exchange | None = None
         self.mailbox: SimpleQueue[Word] = SimpleQueue()
-        self.served = True  # its thread is still there
-        self.applied = False  # its run was asked for
-        self.ended = False  # its run is over
-        self.at_call: tuple[int, bytes] = (0, b"")
-        self.cancel: Callable[[], None] | None = None  # gives up the call below that the thread is in
+        self.served = True  # the thread that serves it has not finished
+        self.applied = False  # APPLY was sent to the interpreter
+        self.ended = False  # the run has ended
+        self.at_call: tuple[int, bytes] = (0, b"")  # offset of the notice and payload of the downstream call
+        self.cancel: Callable[[], None] | None = None  # cancels the downstream call that the thread is in
 
     @property
     def open(self) -> bool:
+        """Whether the decision module still tracks the RPC."""
         return self.rpc.life is not None
 
-    def post(self, word: Word) -> None:
-        self.mailbox.put(word)
+    def post(self, event: Word) -> None:
+        """Puts an event into the mailbox and cancels the downstream call that the thread is in."""
+        self.mailbox.put(event)
         if self.cancel is not None:
             self.cancel()
--- a/hollystage/service/log.py
+++ b/hollystage/service/log.py
@@ -1,4 +1,4 @@
-"""The log: one line an event on standard error, by structlog."""
+"""The log: one logfmt line per event on standard error, written by structlog."""
 from __future__ import annotations
 
 import sys
@@ -9,34 +9,34 @@
 import structlog
 from structlog.typing import EventDict
 
-EACH_S, BURST = 1.0, 5  # of one event, so many lines a second: guards the log against hostile input
-ERRORS = 20  # the same for errors, each of which may be the only trace of a fault
+EACH_S, BURST = 1.0, 5  # lines of one event per window: hostile input must not flood the log
+ERRORS = 20  # higher for errors, since each may be the only trace of a fault
 
 
 class Bounded:
-    """Drops what repeats too often, and says how many were dropped with the next line of its kind."""
+    """A structlog processor that drops lines of an event above its rate; the next line has the dropped count."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
         self.seen: dict[str, tuple[float, int]] = {}
 
     def __call__(self, _: object, level: str, event: EventDict) -> EventDict:
-        kind, now = str(event.get("event")), time.monotonic()
+        name, now = str(event.get("event")), time.monotonic()
         with self.lock:
-            since, count = self.seen.get(kind, (now, 0))
-            most = ERRORS if level in ("error", "critical") else BURST
+            since, count = self.seen.get(name, (now, 0))
+            max_lines = ERRORS if level in ("error", "critical") else BURST
             if now - since > EACH_S:
-                if count > most:
-                    event["left_out"] = count - most
+                if count > max_lines:
+                    event["left_out"] = count - max_lines
                 since, count = now, 0
-            self.seen[kind] = since, count + 1
-        if count >= most:
+            self.seen[name] = since, count + 1
+        if count >= max_lines:
             raise structlog.DropEvent
         return event
 
 
 def setup(name: str, file: TextIO | None = sys.stderr) -> structlog.typing.FilteringBoundLogger:
-    """`file` None for no log."""
+    """Configures structlog and returns a logger bound to the instance's name; `file` None turns the log off."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
