--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A box around one Control, and an instance on sockets among stand-ins for all that it speaks to."""
+"""Test harnesses: one decision module with a simulated clock, and one instance on sockets with stand-ins."""
 import json
 
 import structlog
@@ -17,16 +17,18 @@
 
 
 def lookup(**changes):
+    """An idempotent method, the target and deadline of which are 2 s and 6 s."""
     return Method(**{"kind": Kind.IDEMPOTENT, "criticality": 1.0, "latency_target": 2 * SECOND,
                      "deadline": 6 * SECOND} | changes)
 
 
 def booking(**changes):
+    """A method with idempotency keys that are valid for 8 s."""
     return lookup(**{"kind": Kind.TOKENED, "criticality": 2.0, "window": 8 * SECOND} | changes)
 
 
 class Box:
-    """A box around one Control: feeds it RPCs, keeps what it asked for, ends runs when told."""
+    """Drives one Control on a simulated clock and records its actions."""
 
     def __init__(self, *methods, **changes):
         self.methods = list(methods) or [lookup()]
@@ -40,12 +42,14 @@
         self.flush()
 
     def flush(self):
+        """Records and returns the new actions, without timers."""
         new = [a for a in self.control.decide(self.now) if a.do is not Do.TIMER]
         self.log += new
         self.started |= {a.rpc: self.now for a in new if a.do is Do.START}
         return new
 
     def send(self, method=None, patience=0, **fields):
+        """Lets an RPC arrive and returns it; `fields` are fields of Rpc."""
         rpc = Rpc(method or self.methods[0], fields.pop("caller", 1), fields.pop("tenant", None),
                   fields.pop("size", 10.0), patience, **fields)
         self.control.arrived(rpc, self.now)
@@ -53,27 +57,31 @@
         return rpc
 
     def fill(self, method=None, many=None):
-        """Occupies the cores, so that what comes next is held."""
+        """Occupies the cores, so that the next RPC is queued."""
         return [self.send(method) for _ in range(many or self.settings.cores)]
 
     def end(self, rpc, outcome=Outcome.OK):
+        """Ends the run of an RPC."""
         self.control.finished(rpc, outcome, self.now - self.started.get(rpc, self.now), self.now)
         return self.flush()
 
-    def call_ends(self, rpc, outcome, spent=1000):
-        self.control.called(rpc, outcome, spent, self.now)
+    def call_ends(self, rpc, outcome, duration=1000):
+        """Ends the downstream call of an RPC."""
+        self.control.called(rpc, outcome, duration, self.now)
         return self.flush()
 
     def at_call(self, rpc):
+        """The run of an RPC reaches its downstream call."""
         self.control.at_call(rpc, self.now)
         return self.flush()
 
     def gone(self, rpc):
+        """The caller of an RPC disconnects."""
         self.control.gone(rpc, self.now)
         return self.flush()
 
     def wait(self, span, cores=1.0, crowd=2.0):
-        """Lets time pass with the timer going."""
+        """Advances the clock by `span` microseconds, with a timer event and gauges every TICK."""
         new = []
         for _ in range(max(1, span // TICK)):
             self.now += TICK
@@ -82,6 +90,7 @@
         return new
 
     def did(self, rpc):
+        """Returns the kinds of the actions for an RPC."""
         return [a.do for a in self.log if a.rpc is rpc]
 
 
@@ -98,7 +107,7 @@
 
 
 class World:
-    """An instance among stand-ins."""
+    """An instance on sockets, with stand-ins for interpreter, ledger and control plane."""
 
     def __init__(self, interpreter=None, ledger=None, control=None, plan=None, **changes):
         self.plan = plan
@@ -117,15 +126,18 @@
         return self
 
     def config(self, plan):
+        """Parses the configuration."""
         return parse(json.dumps(self.given).encode(), plan)
 
     def caller(self):
+        """Opens a client connection."""
         return Caller(self.listen)
 
     def count(self, name):
+        """Returns a counter of the instance."""
         return self.instance.counters.read().get(name, 0)
 
     def __exit__(self, *_):
         self.instance.stop()
-        for other in (self.interpreter, self.ledger, self.control):
-            other.close()
+        for stand_in in (self.interpreter, self.ledger, self.control):
+            stand_in.close()
