--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Switches on what `.ci/run` asks for."""
+"""Registers the plugin for known failures if KNOWN_RED is set, as `.ci/run` does."""
 import os
 import pathlib
 import sys
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,7 @@
-"""Tests that are known to fail for a fault that stands: passed over and printed where `.ci/run` names their list.
+"""A pytest plugin that deselects and prints the tests that are listed as failing because of an open fault.
 
-A line is `test, cause, issue`. More than MOST lines, a malformed one, or one that names no test, is an error: the
-list hides nothing but what it says.
+`.ci/run` names the list. A line is `test, cause, issue`. More than MAX_ENTRIES lines, a malformed line, or a line
+that names no collected test is an error, so that the list cannot hide any other test.
 """
 from __future__ import annotations
 
@@ -14,23 +14,26 @@
 
 
 class Entry(NamedTuple):
+    """One line of the list."""
+
     test: str
     cause: str
     issue: str
 
 
 class Wrong(ValueError):
-    """The list cannot be used."""
+    """The list is malformed or too long."""
 
 
 def read(path: pathlib.Path) -> list[Entry]:
-    """
+    """Reads the list; a missing file is an empty list.
+
     Raises:
-        Wrong: naming the line.
+        KnownRedError: the list is malformed or too long; names the line.
     """
     lines = [line for line in path.read_text().splitlines() if line.strip()] if path.exists() else []
     if len(lines) > MOST:
-        raise Wrong(f"{path.name}: {len(lines)} lines, and {MOST} are allowed")
+        raise Wrong(f"{path.name}: {len(lines)} lines, at most {MOST} are allowed")
     entries = []
     for number, line in enumerate(lines, 1):
         test, *rest = (part.strip() for part in line.split(","))
@@ -41,24 +44,30 @@
 
 
 class KnownRed:
-    """A plugin of pytest for one list."""
+    """The pytest plugin for one list."""
 
     def __init__(self, path: pathlib.Path) -> None:
         self.path = path
         self.entries: list[Entry] = []
 
     def pytest_collection_modifyitems(self, config: pytest.Config, items: list[pytest.Item]) -> None:
+        """Deselects the listed tests.
+
+        Raises:
+            pytest.UsageError: the list cannot be used, or it names a test that was not collected.
+        """
         try:
             self.entries = read(self.path)
-        except Wrong as bad:
-            raise pytest.UsageError(str(bad)) from bad
+        except Wrong as error:
+            raise pytest.UsageError(str(error)) from error
         for entry in self.entries:
-            named = [item for item in items if entry.test in (item.nodeid, item.nodeid.partition("[")[0])]
-            if not named:
-                raise pytest.UsageError(f"{self.path.name}: there is no test {entry.test}")
-            config.hook.pytest_deselected(items=named)
-            items[:] = [item for item in items if item not in named]
+            listed = [item for item in items if entry.test in (item.nodeid, item.nodeid.partition("[")[0])]
+            if not listed:
+                raise pytest.UsageError(f"{self.path.name}: no test is named {entry.test}")
+            config.hook.pytest_deselected(items=listed)
+            items[:] = [item for item in items if item not in listed]
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
+        """Prints the listed tests."""
         for entry in self.entries:
-            terminalreporter.write_line(f"known red, passed over: {entry.test}: {entry.cause} (issue {entry.issue})")
+            terminalreporter.write_line(f"known red, deselected: {entry.test}: {entry.cause} (issue {entry.issue})")
