--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Two events that meet: the order is forced by a hook or a lock at the step in question; table in docs/service.md."""
+"""Races between two events: a hook or a lock forces the order at the critical step; docs/service.md lists them."""
 import contextlib
 import errno
 import threading
@@ -6,22 +6,22 @@
 
 import pytest
 from helpers import Answering, Interpreter, World, until
-from test_service import RPC, TOKEN
+from test_service import KEY, RPC
 
 from hollystage.policy.buckets import CALLING, HELD, RUNNING, WAITING
-from hollystage.service import clients as module
-from hollystage.service import connection as connections
+from hollystage.service import clients as clients_module
+from hollystage.service import connection as connection_module
 from hollystage.service.buffers import Stream
 
 
-def half(ident=b"0123456789abcdef"):
-    """An RPC in two halves."""
-    text = RPC.replace(b"1764576000123", b"%d" % (time.time() * 1000)).replace(b"0123456789abcdef", ident)
+def half(request_id=b"0123456789abcdef"):
+    """Returns an RPC in two parts."""
+    text = RPC.replace(b"1764576000123", b"%d" % (time.time() * 1000)).replace(b"0123456789abcdef", request_id)
     return text[:40], text[40:]
 
 
 class Proxy:
-    """Stands for another object, but for what a test replaces."""
+    """Delegates to another object, except for the attributes that a test replaces."""
 
     def __init__(self, real, **replaced):
         self.__dict__.update(replaced, real=real)
@@ -31,7 +31,7 @@
 
 
 def failing(real, *errors):
-    """A function that fails in these ways first, then does what the real one does."""
+    """Returns a function that raises these errors first and then calls the real one."""
     left = list(errors)
 
     def call(*args, **kwargs):
@@ -41,127 +41,131 @@
     return call
 
 
-# Closing
+# Closing connections
 
-def test_half_a_message_that_crosses_our_closing_of_a_resting_connection_may_come_whole(monkeypatch):
+def test_message_in_transit_is_completed_when_an_idle_connection_is_shut(monkeypatch):
     first, rest = half()
-    taken, hung_up = threading.Event(), threading.Event()
+    received_first, shut_done = threading.Event(), threading.Event()
     more = Stream.more
 
-    def held(stream, until):
-        got = more(stream, until)
-        if got and stream.buffer[:stream.end] == first:  # received, and the thread does not say so yet
-            taken.set()
-            assert hung_up.wait(5)
-        return got
+    def delayed(stream, deadline):
+        received = more(stream, deadline)
+        if received and stream.buffer[:stream.end] == first:  # received, but idle_since is not reset yet
+            received_first.set()
+            assert shut_done.wait(5)
+        return received
 
-    monkeypatch.setattr(Stream, "more", held)
-    with World() as world:
-        caller, clients = world.caller(), world.instance.clients
+    monkeypatch.setattr(Stream, "more", delayed)
+    with World() as harness:
+        caller, clients = harness.caller(), harness.instance.clients
         assert caller.ask().status == 200
         caller.sock.sendall(first)
-        assert taken.wait(5)
+        assert received_first.wait(5)
         with clients.lock:
             clients._hang_up(*clients.connections.values())
-        hung_up.set()
-        until(lambda: world.count("clients.connections") == 1)
+        shut_done.set()
+        until(lambda: harness.count("clients.connections") == 1)
         caller.sock.sendall(rest)
         answer = caller.answer()
         assert (answer.status, answer.keep) == (200, False)
 
 
-def test_half_a_message_that_never_comes_whole_ends_in_time(monkeypatch):
-    monkeypatch.setattr(connections, "CROSSING_S", 0.1)
-    with World() as world:
-        caller, clients = world.caller(), world.instance.clients
+def test_incomplete_message_on_a_shut_connection_times_out(monkeypatch):
+    monkeypatch.setattr(connection_module, "CROSSING_S", 0.1)
+    with World() as harness:
+        caller, clients = harness.caller(), harness.instance.clients
         assert caller.ask().status == 200
         connection, = clients.connections.values()
         caller.sock.sendall(half()[0])
         until(lambda: not connection.idle_since)
         with clients.lock:
-            connection.idle_since = 1.0  # as the sweep may have seen it just before
+            connection.idle_since = 1.0  # as the check for idle connections may have seen it just before
             clients._hang_up(connection)
-        begun = time.monotonic()
-        assert caller.answer().status == 400 and caller.closed() and time.monotonic() - begun < 1
+        started_at = time.monotonic()
+        assert caller.answer().status == 400 and caller.closed() and time.monotonic() - started_at < 1
 
 
 @pytest.mark.parametrize("size", [9_000, 40_000, 200_000])
-def test_an_endless_head_is_refused_and_the_refusal_outlives_what_is_unread(size):
-    with World() as world:
+def test_rejects_oversized_head_and_the_answer_survives_unread_input(size):
+    with World() as harness:
         for _ in range(10):
-            caller = world.caller()
+            caller = harness.caller()
             caller.sock.sendall(b"POST /svc/lookup HTTP/1.1\r\nX: " + b"y" * size)
             assert caller.answer().status == 431
-        assert world.count("clients.crashed") == 0
+        assert harness.count("clients.crashed") == 0
 
 
-def test_answers_are_not_held_back_in_the_system():
-    with World() as world:
-        caller, clients = world.caller(), world.instance.clients
+def test_nodelay_is_set_on_client_sockets():
+    """Nagle's algorithm would hold back answers."""
+    with World() as harness:
+        caller, clients = harness.caller(), harness.instance.clients
         assert caller.ask().status == 200
         connection, = clients.connections.values()
         for sock in (clients.listener, connection.sock):
-            assert sock.getsockopt(module.socket.IPPROTO_TCP, module.socket.TCP_NODELAY)
+            assert sock.getsockopt(clients_module.socket.IPPROTO_TCP, clients_module.socket.TCP_NODELAY)
 
 
 @pytest.mark.parametrize("field, status", [(b"Content-Length: 0\r\nConnection: close", 200),
                                            (b"Content-Length: 9000", 413)])
-def test_what_is_read_behind_the_last_answer_is_never_run(field, status):
-    with World() as world:
-        caller = world.caller()
-        first, second = (b"".join(half(ident)) for ident in (b"0123456789abcdef", b"fedcba9876543210"))
+def test_rpc_behind_the_last_answer_is_never_run(field, status):
+    with World() as harness:
+        caller = harness.caller()
+        first, second = (b"".join(half(request_id)) for request_id in (b"0123456789abcdef", b"fedcba9876543210"))
         caller.sock.sendall(first.replace(b"Content-Length: 0", field) + second)
         answer = caller.answer()
         assert (answer.status, answer.keep) == (status, False) and caller.closed()
-        assert len(world.interpreter.got("APPLY")) == (status == 200)
+        assert len(harness.interpreter.got("APPLY")) == (status == 200)
 
 
-def test_a_reader_that_takes_nothing_is_let_go_in_time_and_the_rest_is_served_meanwhile(monkeypatch):
-    monkeypatch.setattr(module, "TAKE_S", 0.3)
-    with World() as world:
-        clients, slow = world.instance.clients, world.caller()
+def test_send_timeout_closes_a_client_that_reads_nothing(monkeypatch):
+    """Other clients are served meanwhile."""
+    monkeypatch.setattr(clients_module, "TAKE_S", 0.3)
+    with World() as harness:
+        clients, slow = harness.instance.clients, harness.caller()
         assert slow.ask().status == 200
         connection, = clients.connections.values()
-        for sock, option in ((connection.sock, module.socket.SO_SNDBUF), (slow.sock, module.socket.SO_RCVBUF)):
-            sock.setsockopt(module.socket.SOL_SOCKET, option, 4096)
+        for sock, option in ((connection.sock, clients_module.socket.SO_SNDBUF),
+                             (slow.sock, clients_module.socket.SO_RCVBUF)):
+            sock.setsockopt(clients_module.socket.SOL_SOCKET, option, 4096)
         sender = threading.Thread(target=pipeline, args=(slow, 400), daemon=True)
         sender.start()
-        assert world.caller().ask().status == 200
+        assert harness.caller().ask().status == 200
         until(lambda: connection not in clients.connections.values())
-        assert world.count("clients.broken") == 1 and world.caller().ask().status == 200
+        assert harness.count("clients.broken") == 1 and harness.caller().ask().status == 200
         slow.sock.close()
         sender.join(5)
 
 
-def pipeline(caller, many):
-    """Sends RPCs one behind the other and reads no answer."""
+def pipeline(caller, count):
+    """Sends RPCs one after the other and reads no answer."""
     with contextlib.suppress(OSError):
-        for _ in range(many):
+        for _ in range(count):
             caller.send(body=bytes(2048))
 
 
 # Shutdown
 
-def drained(world):
-    thread = threading.Thread(target=world.instance.drain)
+def drained(harness):
+    """Starts the drain in a thread and returns the thread."""
+    thread = threading.Thread(target=harness.instance.drain)
     thread.start()
     return thread
 
 
-def test_a_connection_that_was_taken_in_the_moment_of_the_shutdown_is_served():
-    with World() as world:
-        clients, go, held = world.instance.clients, threading.Event(), threading.Event()
+def test_connection_accepted_during_shutdown_is_served():
+    with World() as harness:
+        clients, go, accepted = harness.instance.clients, threading.Event(), threading.Event()
         begin = clients._begin
 
         def late(sock):
-            held.set()
+            accepted.set()
             assert go.wait(5)
             begin(sock)
 
         clients._begin = late
-        caller = world.caller().send()
-        assert held.wait(5)  # accepted, and in no table yet
-        drain = drained(world)
+        caller = harness.caller().send()
+        assert accepted.wait(5)  # not in the table yet
+        drain = drained(harness)
         until(lambda: clients.listener.fileno() < 0)
         time.sleep(0.05)
         assert drain.is_alive()
@@ -172,165 +176,168 @@
         assert not drain.is_alive()
 
 
-def test_what_waits_to_be_accepted_at_the_shutdown_is_served_once_descriptors_come_free():
-    with World() as world:
-        clients = world.instance.clients
-        # a full table: the accepting thread takes nothing more
+def test_pending_connection_at_shutdown_is_served_once_a_descriptor_is_free():
+    """The first accept() during the shutdown fails with EMFILE."""
+    with World() as harness:
+        clients = harness.instance.clients
+        # a full table: the accepting thread accepts nothing more
         clients.room = Proxy(clients.room, acquire=lambda **_: time.sleep(0.01))
-        world.caller()  # what it already waits for
-        until(lambda: world.count("clients.connections") == 1)
-        caller = world.caller().send()
+        harness.caller()  # the accept() that already waits takes this one
+        until(lambda: harness.count("clients.connections") == 1)
+        caller = harness.caller().send()
         full = failing(clients.listener.accept, OSError(errno.EMFILE, "no descriptor"))
         clients.listener = Proxy(clients.listener, accept=full)
-        drain = drained(world)
+        drain = drained(harness)
         assert caller.answer().status == 200
         drain.join(5)
 
 
-def test_a_connection_that_died_before_it_was_accepted_costs_no_other_its_place():
-    with World() as world:
-        clients, known = world.instance.clients, world.caller()
+def test_aborted_accept_evicts_no_connection():
+    with World() as harness:
+        clients, known = harness.instance.clients, harness.caller()
         assert known.ask().status == 200
         aborted = failing(clients.listener.accept, OSError(errno.ECONNABORTED, "gone"))
         clients.listener = Proxy(clients.listener, accept=aborted)
-        assert world.caller().ask().status == 200  # the accept that waited already
-        until(lambda: world.count("clients.not_accepted") == 1)
-        assert world.caller().ask().status == 200
+        assert harness.caller().ask().status == 200  # taken by the accept() that already waits
+        until(lambda: harness.count("clients.not_accepted") == 1)
+        assert harness.caller().ask().status == 200
         assert not any(connection.hung_up for connection in clients.connections.values())
         assert known.ask().status == 200
 
 
-# Hand-overs
+# Hand-overs between threads
 
-def test_a_run_whose_command_could_not_be_given_leaves_its_place():
-    with World() as world:
-        link, control = world.instance.link, world.instance.driver.control
+def test_run_slot_is_released_when_apply_fails():
+    with World() as harness:
+        link, control = harness.instance.link, harness.instance.driver.control
         link.apply = failing(link.apply, MemoryError("none left"))
-        assert world.caller().ask().status == 500
-        until(lambda: not world.instance.driver.exchanges)
-        assert control.places[RUNNING] == 0 and world.count("clients.crashed") == 1
-        assert world.caller().ask().status == 200
+        assert harness.caller().ask().status == 500
+        until(lambda: not harness.instance.driver.exchanges)
+        assert control.places[RUNNING] == 0 and harness.count("clients.crashed") == 1
+        assert harness.caller().ask().status == 200
 
 
-def test_a_repeat_that_waits_for_a_run_whose_command_could_not_be_given_is_answered():
-    with World() as world:
-        link, joined = world.instance.link, threading.Event()
+def test_repeat_is_answered_when_apply_of_its_run_fails():
+    with World() as harness:
+        link, joined = harness.instance.link, threading.Event()
 
         def fail(*_):
             assert joined.wait(5)
             raise MemoryError("none left")
 
         link.apply = fail
-        first = world.caller().send("booking", **TOKEN)
-        until(lambda: world.instance.driver.control.places[RUNNING] == 1)
-        repeat = world.caller().send("booking", **TOKEN)
-        entries = world.instance.driver.tokens.entries
+        first = harness.caller().send("booking", **KEY)
+        until(lambda: harness.instance.driver.control.places[RUNNING] == 1)
+        repeat = harness.caller().send("booking", **KEY)
+        entries = harness.instance.driver.tokens.entries
         until(lambda: any(entry.waiting for entry in entries.values()))
         joined.set()
         assert (first.answer().status, repeat.answer().status) == (500, 500)
-        assert world.instance.driver.control.places[RUNNING] == 0
-
-
-@pytest.mark.parametrize("place", [HELD, WAITING, CALLING])
-def test_a_thread_that_fails_leaves_nothing_behind_wherever_its_rpc_was(place):
-    with World(Interpreter(auto=False), Answering(None)) as world:
-        driver = world.instance.driver
-        world.interpreter.load = [1.0, 2.0]  # busy: nothing is run beyond the cores
-        callers = [world.caller().send() for _ in range(2 if place == HELD else 1)]
-        idents = world.interpreter.applied(len(callers))
-        if place == HELD:
-            callers.append(world.caller().send())
+        assert harness.instance.driver.control.places[RUNNING] == 0
+
+
+@pytest.mark.parametrize("state", [HELD, WAITING, CALLING])
+def test_failed_rpc_thread_leaves_no_state_behind(state):
+    """Whatever state its RPC was in, all counts return to zero."""
+    with World(Interpreter(auto=False), Answering(None)) as harness:
+        driver = harness.instance.driver
+        harness.interpreter.load = [1.0, 2.0]  # busy: no more runs than cores
+        callers = [harness.caller().send() for _ in range(2 if state == HELD else 1)]
+        request_ids = harness.interpreter.applied(len(callers))
+        if state == HELD:
+            callers.append(harness.caller().send())
         else:
-            if place == WAITING:
-                driver.control.next_call = 1 << 62  # no call may begin
-            world.interpreter.notice("AWAIT", idents[0], b"a call")
-        exchange = until(lambda: next((e for e in list(driver.exchanges.values()) if e.rpc.place == place), None))
-        if place == CALLING:
-            until(lambda: world.ledger.heard)
+            if state == WAITING:
+                driver.control.next_call = 1 << 62  # no call may start
+            harness.interpreter.notice("AWAIT", request_ids[0], b"a call")
+        exchange = until(lambda: next((e for e in list(driver.exchanges.values()) if e.rpc.place == state), None))
+        if state == CALLING:
+            until(lambda: harness.ledger.heard)
         with driver.lock:
-            exchange.post("no word at all")  # what handles it fails
+            exchange.post("not an event")  # makes its handling fail
         assert callers[-1].answer().status == 500
-        assert place != HELD or driver.control.places[HELD] == 0
-        for ident in idents:
-            world.interpreter.end(ident, result="cut")
+        assert state != HELD or driver.control.places[HELD] == 0
+        for request_id in request_ids:
+            harness.interpreter.end(request_id, result="cut")
         until(lambda: not driver.exchanges)
-        assert not any(driver.control.places[at] for at in (HELD, RUNNING, WAITING, CALLING))
+        assert not any(driver.control.places[state] for state in (HELD, RUNNING, WAITING, CALLING))
 
 
-def test_a_call_whose_rpc_ends_in_the_moment_of_its_beginning_is_never_made():
-    with World(Interpreter(auto=False)) as world:
-        driver, caller = world.instance.driver, world.caller().send()
-        ident, = world.interpreter.applied()
-        calling = driver.calling
+def test_call_is_not_made_when_its_rpc_ends_as_it_starts():
+    with World(Interpreter(auto=False)) as harness:
+        driver, caller = harness.instance.driver, harness.caller().send()
+        request_id, = harness.interpreter.applied()
+        register_cancel = driver.calling
 
         def late(exchange, cancel):
             if cancel is not None:
                 caller.sock.close()
-                until(lambda: world.count("rpc.gone") == 1)
-            return calling(exchange, cancel)
+                until(lambda: harness.count("rpc.gone") == 1)
+            return register_cancel(exchange, cancel)
 
         driver.calling = late
-        world.interpreter.notice("AWAIT", ident, b"a call")
-        until(lambda: world.interpreter.got("BREAK"))
-        world.interpreter.end(ident, result="cut")
+        harness.interpreter.notice("AWAIT", request_id, b"a call")
+        until(lambda: harness.interpreter.got("BREAK"))
+        harness.interpreter.end(request_id, result="cut")
         until(lambda: not driver.exchanges)
-        assert world.count("ledger.connections") == 0 and not world.ledger.heard
+        assert harness.count("ledger.connections") == 0 and not harness.ledger.heard
 
 
-# Room
+# Eviction and descriptors
 
-def test_a_first_message_that_comes_slowly_outlives_idle_connections_at_a_full_table():
-    with World(limits={"sockets": 64}) as world:
+def test_eviction_prefers_idle_connections_to_a_slow_first_message():
+    with World(limits={"sockets": 64}) as harness:
         first, rest = half()
-        slow = world.caller()
+        slow = harness.caller()
         slow.sock.sendall(first)
-        begun = time.monotonic()
-        known = [world.caller() for _ in range(42)]
+        started_at = time.monotonic()
+        known = [harness.caller() for _ in range(42)]
         assert [caller.ask().status for caller in known] == [200] * 42
-        until(lambda: time.monotonic() - begun > module.SETTLE_S)
-        assert world.caller().ask().status == 200  # one idle connection gave way
+        until(lambda: time.monotonic() - started_at > clients_module.SETTLE_S)
+        assert harness.caller().ask().status == 200  # one idle connection was evicted
         assert known[0].closed()
         slow.sock.sendall(rest)
         assert slow.answer().status == 200
 
 
-def test_idle_clients_that_fill_the_table_while_the_control_plane_is_down_cost_no_report_and_no_call():
-    with World(Interpreter(auto=False), limits={"sockets": 64}) as world:
-        world.control.close()
-        crowd = [world.caller() for _ in range(120)]
-        until(lambda: world.instance.clients.count() == 44)
-        until(lambda: world.count("registry.failures"))
-        many = len(world.control.heard)
-        caller = world.caller().send()
-        ident, = world.interpreter.applied()
-        world.interpreter.notice("AWAIT", ident, b"a call")
-        until(lambda: world.interpreter.got("RESOLVE"))
-        world.control.listen()
-        until(lambda: len(world.control.heard) > many)
-        world.interpreter.end(ident, b"served")
-        assert caller.answer().body == b"served" and crowd[0].closed()
+def test_full_client_table_leaves_descriptors_for_reports_and_calls():
+    """Idle clients fill the table while the control plane is down."""
+    with World(Interpreter(auto=False), limits={"sockets": 64}) as harness:
+        harness.control.close()
+        idle_clients = [harness.caller() for _ in range(120)]
+        until(lambda: harness.instance.clients.count() == 44)
+        until(lambda: harness.count("registry.failures"))
+        reports = len(harness.control.heard)
+        caller = harness.caller().send()
+        request_id, = harness.interpreter.applied()
+        harness.interpreter.notice("AWAIT", request_id, b"a call")
+        until(lambda: harness.interpreter.got("RESOLVE"))
+        harness.control.listen()
+        until(lambda: len(harness.control.heard) > reports)
+        harness.interpreter.end(request_id, b"served")
+        assert caller.answer().body == b"served" and idle_clients[0].closed()
 
 
 # Repeats
 
-def test_a_repeat_across_a_reload_joins_the_run():
-    with World(Interpreter(auto=False)) as world:
-        first = world.caller().send("booking", b"x", **TOKEN)
-        ident, = world.interpreter.applied()
-        world.given["ledger"] = world.given["control"]
-        world.instance.reload(world.config(None))
+def test_repeat_joins_its_run_across_a_reload():
+    with World(Interpreter(auto=False)) as harness:
+        first = harness.caller().send("booking", b"x", **KEY)
+        request_id, = harness.interpreter.applied()
+        harness.given["ledger"] = harness.given["control"]
+        harness.instance.reload(harness.config(None))
         first.sock.close()
-        until(lambda: world.count("rpc.gone") == 1)
-        repeat = world.caller().send("booking", b"x", **TOKEN)
-        until(lambda: world.count("rpc.read") == 2)
-        world.interpreter.end(ident, b"booked")
-        assert repeat.answer().body == b"booked" and len(world.interpreter.got("APPLY")) == 1
+        until(lambda: harness.count("rpc.gone") == 1)
+        repeat = harness.caller().send("booking", b"x", **KEY)
+        until(lambda: harness.count("rpc.read") == 2)
+        harness.interpreter.end(request_id, b"booked")
+        assert repeat.answer().body == b"booked" and len(harness.interpreter.got("APPLY")) == 1
 
 
-def test_a_method_whose_name_has_to_be_escaped_in_a_path():
-    with World() as world:
-        clients = world.instance.clients
+def test_percent_encoded_method_name():
+    with World() as harness:
+        clients = harness.instance.clients
         clients.methods["zone map"] = clients.methods["lookup"]
-        assert world.caller().ask("zone%20map").status == 200
-        assert world.interpreter.got("APPLY")[0]["method"] == "zone map"
-        assert world.caller().ask("zone%2map").status == 404
+        assert harness.caller().ask("zone%20map").status == 200
+        assert harness.interpreter.got("APPLY")[0]["method"] == "zone map"
+        assert harness.caller().ask("zone%2map").status == 404
