--- a/hollystage/service/interpreter.py
+++ b/hollystage/service/interpreter.py
@@ -1,9 +1,10 @@
-"""The link to the interpreter: commands out, notices in, and both made good after a break.
+"""The link to the interpreter: sends commands, receives notices and recovers both after a lost connection.
 
-Commands of a run are kept until a notice shows that they were heard. On a new link the notices missed come
-first; once the gauges, asked for behind them, are there, these are all read, and only then are the
-commands of runs that are still open sent again. So no run that is over is ever asked for anew. An interpreter
-that is not up yet declines to tell its gauges: they are asked for at its BANNER.
+The commands of a run are kept until a notice confirms that they were received. On a new connection the interpreter
+first sends the notices that were missed. Then the link requests the gauges; their arrival shows that all missed
+notices were read, and only then are the commands of the runs that are still open sent again. Thus a run that has
+ended is never requested again. An interpreter that is still starting rejects the request for gauges, so they are
+requested when its BANNER arrives.
 """
 from __future__ import annotations
 
@@ -27,6 +28,8 @@
 
 
 class Notice(msgspec.Struct):
+    """One message of the interpreter, a JSON line; the fields that a kind of notice lacks keep their defaults."""
+
     cmd: str
     offset: Annotated[int, msgspec.Meta(ge=0)] = 0
     req: str = ""
@@ -38,59 +41,72 @@
 
 
 class Remark(msgspec.Struct):
-    """Has no meaning, whatever its other fields are."""
+    """A TRACE notice. It is ignored, whatever its other fields contain."""
 
     cmd: Literal["TRACE"]
     offset: Annotated[int, msgspec.Meta(ge=0)] = 0
 
 
 class Garbage(Exception):
-    """The interpreter wrote what is no notice."""
+    """The interpreter sent a line that is not a valid notice."""
 
 
 class Smoke:
+    """A smoke test that is waiting for the interpreter's reply."""
+
     def __init__(self) -> None:
         self.over, self.good = threading.Event(), False
 
 
 class Link:
+    """The connection to the interpreter, reconnected when it is lost.
+
+    Commands may be sent from any thread and do not block; only run_smoke_test() waits. One thread reads notices,
+    another writes what the socket did not take at once.
+    """
+
     def __init__(self, address: Address, driver: Driver, pool: Pool, counters: Counters, log: Any) -> None:
         self.address, self.driver, self.pool, self.counters, self.log = address, driver, pool, counters, log
         self.lock = threading.Lock()
         self.unheard: dict[str, list[bytes]] = {}
         self.smokes: dict[str, Smoke] = {}
         self.queue: SimpleQueue[tuple[socket.socket, bytes]] = SimpleQueue()
-        self.sock: socket.socket | None = None  # the present link
+        self.sock: socket.socket | None = None  # None while disconnected
         self.synced = self.stopped = False
         self.offset = self.links = self.asked = 0
-        self.behind = 0  # lines that the writing thread has yet to send; what comes now goes behind them
-        self.moved = threading.Event()  # the address is another
+        self.behind = 0  # lines that the writer thread has yet to send; new lines must queue behind them
+        self.moved = threading.Event()  # set when the address changes
         self.decoder = msgspec.json.Decoder(Notice)
 
     # Commands
 
-    def apply(self, ident: str, method: str, payload: bytes) -> None:
+    def apply(self, request_id: str, method: str, payload: bytes) -> None:
+        """Starts a run."""
         with self.lock:
-            self.unheard[ident] = []
-        self._of_run(ident, {"cmd": "APPLY", "req": ident, "method": method, "payload": payload})
+            self.unheard[request_id] = []
+        self._of_run(request_id, {"cmd": "APPLY", "req": request_id, "method": method, "payload": payload})
 
-    def halt(self, ident: str) -> None:
-        self._of_run(ident, {"cmd": "BREAK", "req": ident})
+    def halt(self, request_id: str) -> None:
+        """Takes a run off the cores."""
+        self._of_run(request_id, {"cmd": "BREAK", "req": request_id})
 
-    def resolve(self, ident: str, payload: bytes) -> None:
-        self._of_run(ident, {"cmd": "RESOLVE", "req": ident, "payload": payload})
+    def resolve(self, request_id: str, payload: bytes) -> None:
+        """Resumes a run with the reply to its downstream call."""
+        self._of_run(request_id, {"cmd": "RESOLVE", "req": request_id, "payload": payload})
 
-    def stub(self, ident: str, offset: int) -> None:
-        self._of_run(ident, {"cmd": "STUB", "req": ident, "offset": offset})
+    def stub(self, request_id: str, offset: int) -> None:
+        """Resumes a run without its downstream call, which the notice at `offset` requested."""
+        self._of_run(request_id, {"cmd": "STUB", "req": request_id, "offset": offset})
 
     def ask_gauges(self) -> None:
+        """Requests the gauges, unless the link is still synchronizing."""
         with self.lock:
             self.asked += 1
             if self.synced:
                 self._send({"cmd": "TOP", "token": f"top-{self.asked}"})
 
     def smoke(self, timeout: float) -> bool:
-        """Whether work gets done."""
+        """Returns whether the interpreter executed a test command within `timeout` seconds."""
         smoke = Smoke()
         with self.lock:
             self.asked += 1
@@ -103,10 +119,10 @@
             self.smokes.pop(token, None)
         return smoke.good
 
-    def _of_run(self, ident: str, command: dict[str, Any]) -> None:
+    def _of_run(self, request_id: str, command: dict[str, Any]) -> None:
         with self.lock:
-            lines = self.unheard.get(ident)
-            if lines is None:  # the run is over
+            lines = self.unheard.get(request_id)
+            if lines is None:  # the run has ended
                 return
             lines.append(self._line(command))
             if self.synced:
@@ -116,14 +132,14 @@
         self._put(self._line(command))
 
     def _put(self, line: bytes) -> None:
-        """Sends at once what the socket takes; the writing thread does the rest, nobody waits here."""
+        """Sends what the socket takes without blocking; the writer thread sends the rest."""
         if self.sock is None:
             return
         if not self.behind:
             try:
                 line = line[self.sock.send(line, socket.MSG_DONTWAIT):]
             except OSError:
-                pass  # full, or broken: the writing thread finds out
+                pass  # the buffer is full or the connection broken: the writer thread handles both
         if line:
             self.behind += 1
             self.queue.put((self.sock, line))
@@ -132,26 +148,28 @@
     def _line(command: dict[str, Any]) -> bytes:
         return msgspec.json.encode(command) + b"\n"
 
-    # The threads
+    # Threads
 
     def write_forever(self) -> None:
+        """Sends queued lines until the link is stopped."""
         while not self.stopped:
             sock, line = self.queue.get()
             try:
                 sock.sendall(line)
             except OSError:
-                self._end(sock)  # the reading thread, its owner, closes it
+                self._end(sock)  # the reader thread owns the socket and closes it
             with self.lock:
                 self.behind -= 1
 
     def read_forever(self) -> None:
+        """Connects, reads notices and reconnects until the link is stopped."""
         while not self.stopped:
             self._one_link()
             self.moved.wait(AGAIN_S)
             self.moved.clear()
 
     def move(self, address: Address) -> None:
-        """The link is made anew at once; what is missed meanwhile is made good as after a break."""
+        """Reconnects at once if the address changed, and resynchronizes as after a lost connection."""
         with self.lock:
             if address != self.address:
                 self.address = address
@@ -160,12 +178,13 @@
                     self._end(self.sock)
 
     def stop(self) -> None:
+        """Ends the connection and both threads."""
         with self.lock:
             self.stopped = True
             if self.sock is not None:
                 self._end(self.sock)
                 self.behind += 1
-                self.queue.put((self.sock, b""))  # so that the writing thread sees it
+                self.queue.put((self.sock, b""))  # wakes the writer thread
 
     @staticmethod
     def _end(sock: socket.socket) -> None:
@@ -185,18 +204,18 @@
             sock.settimeout(None)
             bound(sock, socket.SO_SNDTIMEO, SILENT_S)
             with self.lock:
-                if address != self.address:  # it moved while the connection was made
+                if address != self.address:  # it changed while connecting
                     return
                 self.links += 1
                 self.sock, self.synced, marker = sock, False, f"all-{self.links}"
                 self._send({"cmd": "CONNECT", "offset": self.offset})
             self.counters.add("interpreter.links")
             self._read(Stream(sock, buffer), marker)
-        except (OSError, Broken, TooLong, Garbage, msgspec.DecodeError) as bad:
+        except (OSError, Broken, TooLong, Garbage, msgspec.DecodeError) as error:
             if self.stopped:
                 return
             self.counters.add("interpreter.broken")
-            self.log.warning("interpreter link ended", why=f"{type(bad).__name__}: {bad}")
+            self.log.warning("interpreter connection lost", why=f"{type(error).__name__}: {error}")
         finally:
             with self.lock:
                 self.sock, self.synced = None, False
@@ -207,11 +226,12 @@
     def _read(self, stream: Stream, marker: str) -> None:
         greeted = False
         while True:
-            # the gauges are asked for all the time: silence means that the link is dead, but for a late start
-            until = time.monotonic() + SILENT_S if greeted else None
+            # the gauges are requested all the time, so silence means a dead connection, except before the BANNER,
+            # which an interpreter that starts late sends late
+            deadline = time.monotonic() + SILENT_S if greeted else None
             try:
-                line = stream.upto(b"\n", len(stream.buffer), until)
-            except TooLong:  # no notice is: a remark, which would come again on a new link
+                line = stream.upto(b"\n", len(stream.buffer), deadline)
+            except TooLong:  # can only be a TRACE; it is skipped, since a new connection would deliver it again
                 stream.past(b"\n", time.monotonic() + SILENT_S)
                 self.counters.add("interpreter.too_long")
                 continue
@@ -225,6 +245,7 @@
             self.counters.add(f"interpreter.in.{notice.cmd}")
 
     def _decode(self, line: bytes) -> Notice:
+        """Decodes a line; one that is valid only as a TRACE yields a TRACE notice with its offset."""
         try:
             return self.decoder.decode(line)
         except msgspec.ValidationError:
@@ -234,11 +255,11 @@
         match notice.cmd:
             case "VALUE":
                 if notice.result not in ENDS:
-                    raise Garbage(f"a run cannot end as {notice.result!r}")
+                    raise Garbage(f"unknown result of a run: {notice.result!r}")
                 with self.lock:
                     self.unheard.pop(notice.req, None)
-                spent = int(notice.elapsed_ms * 1000)
-                self.driver.finished(notice.req, ENDS[notice.result], spent, notice.payload)
+                duration = int(notice.elapsed_ms * 1000)
+                self.driver.finished(notice.req, ENDS[notice.result], duration, notice.payload)
             case "AWAIT":
                 with self.lock:
                     if notice.req in self.unheard:
@@ -259,7 +280,7 @@
                     smoke.good = notice.result == "good"
                     smoke.over.set()
             case "ERROR":
-                self.log.warning("interpreter declined a command", command=notice.result, rpc=notice.req)
+                self.log.warning("interpreter rejected a command", command=notice.result, rpc=notice.req)
                 if notice.result == "APPLY":
                     with self.lock:
                         self.unheard.pop(notice.req, None)
@@ -267,9 +288,10 @@
             case "TRACE":
                 pass
             case _:
-                raise Garbage(f"no notice is called {notice.cmd!r}")
+                raise Garbage(f"unknown notice {notice.cmd!r}")
 
     def _sync(self) -> None:
+        """Sends pending smoke tests and unacknowledged commands; all missed notices were read before."""
         with self.lock:
             self.synced = True
             for token in self.smokes:
