--- a/hollystage/service/ledger.py
+++ b/hollystage/service/ledger.py
@@ -1,8 +1,8 @@
-"""Calls below, each on a connection of its own.
+"""Downstream calls to the ledger, each on its own connection.
 
-A kept connection would save about 0.1 ms of CPU a call. The other side may close or forget it while idle,
-which leaves open whether a call on it ran, and a surplus answer may reach it at any time, to be taken for the
-next call's.
+A persistent connection would save about 0.1 ms of CPU per call. But the server may close or forget it while it is
+idle, which leaves unknown whether a call on it ran, and a surplus response may arrive on it at any time and be taken
+for the response to the next call.
 """
 from __future__ import annotations
 
@@ -19,69 +19,76 @@
 from .counters import Counters
 from .http import Bad, Response, read_response, write_request
 
-REFUSED_S = 0.02  # no sooner is it asked again
-LATE_S = 0.02  # the ledger's own word on the time-out is waited for so long
+REFUSED_S = 0.02  # delay after a failed connection attempt
+LATE_S = 0.02  # extra wait past the limit for the ledger's own response about its time-out
 
-Begin = Callable[[Callable[[], None] | None], bool]  # names what gives the call up; False where it is void
+Begin = Callable[[Callable[[], None] | None], bool]  # registers the function that cancels; False: do not call
 
 
 class Ledger:
-    """Owns the connections; a call makes one and closes it in one place."""
+    """Makes downstream calls; at most `max_calls` at a time, since each needs a descriptor."""
 
-    def __init__(self, address: Address, most: int, pool: Pool, counters: Counters, log: Any) -> None:
+    def __init__(self, address: Address, max_calls: int, pool: Pool, counters: Counters, log: Any) -> None:
         self.address, self.pool, self.counters, self.log = address, pool, counters, log
-        self.room = threading.BoundedSemaphore(most)
+        self.room = threading.BoundedSemaphore(max_calls)
 
     def move(self, address: Address) -> None:
+        """Uses another address for later calls."""
         self.address = address
 
-    def post(self, ident: str, limit_us: int, body: bytes, begin: Begin) -> tuple[Outcome, bytes]:
-        until = time.monotonic() + limit_us / 1e6 + LATE_S
+    def post(self, request_id: str, limit_us: int, body: bytes, register: Begin) -> tuple[Outcome, bytes]:
+        """Makes one call and returns its outcome and the body of the response.
+
+        `limit_us`: time limit in microseconds. `register` receives the function that cancels the call, and None once
+        the call can no longer be cancelled; if it returns False, the call is not made.
+        """
+        deadline = time.monotonic() + limit_us / 1e6 + LATE_S
         if not self.room.acquire(blocking=False):
-            return self._count(Outcome.FULL), b""  # more than the descriptors allow
+            return self._count(Outcome.FULL), b""  # the descriptors allow no more calls
         address = self.address
         try:
             sock, buffer = socket.socket(socket.AF_INET, socket.SOCK_STREAM), self.pool.take()
-        except (OSError, MemoryError):  # no descriptor, or no room: nothing was sent
+        except (OSError, MemoryError):  # no descriptor or no memory: nothing was sent
             self.room.release()
             return self._count(Outcome.FULL), b""
         try:
-            if not begin(lambda: _give_up(sock)):
+            if not register(lambda: _give_up(sock)):
                 return self._count(Outcome.CANCELLED), b""
-            if not self._connect(sock, address, until):
+            if not self._connect(sock, address, deadline):
                 return self._count(Outcome.CONNECT_FAILED), b""
-            headers = {"X-Txn-Ref": ident, "X-Limit-Ms": str(max(1, limit_us // 1000)), "Connection": "close"}
+            headers = {"X-Txn-Ref": request_id, "X-Limit-Ms": str(max(1, limit_us // 1000)), "Connection": "close"}
             sock.sendall(write_request("POST", "/post", f"{address[0]}:{address[1]}", headers, body))
-            reply = read_response(Stream(sock, buffer), until)
+            reply = read_response(Stream(sock, buffer), deadline)
             return self._count(self._meaning(reply)), reply.body
         except (TimeoutError, BlockingIOError):
             return self._count(Outcome.TIMEOUT), b""
-        except Bad as bad:
-            self.log.warning("ledger reply cannot be read", why=str(bad))
+        except Bad as error:
+            self.log.warning("malformed response from the ledger", why=str(error))
             self.counters.add("ledger.garbage")
             return self._count(Outcome.RESET), b""
         except (OSError, Broken):
             return self._count(Outcome.RESET), b""
         finally:
-            begin(None)  # from here on nobody gives this socket up
+            register(None)  # the socket is closed below and must not be shut down any more
             self.pool.give_back(buffer)
             sock.close()
             self.room.release()
 
-    def _connect(self, sock: socket.socket, address: Address, until: float) -> bool:
-        """A connection that never came about proves that no call ran."""
+    def _connect(self, sock: socket.socket, address: Address, deadline: float) -> bool:
+        """Returns whether the connection was established; if not, the call has certainly not run."""
         try:
-            bound(sock, socket.SO_SNDTIMEO, max(0.001, until - time.monotonic()))
+            bound(sock, socket.SO_SNDTIMEO, max(0.001, deadline - time.monotonic()))
             sock.connect(address)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except OSError:
-            # guards the core against an RPC that asks a ledger that is down again and again
-            time.sleep(max(0.0, min(REFUSED_S, until - time.monotonic())))
+            # keeps an RPC that retries its call to a ledger that is down from using a whole core
+            time.sleep(max(0.0, min(REFUSED_S, deadline - time.monotonic())))
             return False
         self.counters.add("ledger.connections")
         return True
 
     def _meaning(self, reply: Response) -> Outcome:
+        """Maps a response to an outcome; X-Untouched states that the call had no effect."""
         untouched = reply.fields.get("x-untouched") == "1"
         if reply.status == 503 and untouched:
             return Outcome.FULL
--- a/hollystage/service/registry.py
+++ b/hollystage/service/registry.py
@@ -1,4 +1,7 @@
-"""Reports to the control plane, steadily and on change; whatever it does, serving goes on."""
+"""Reports the health of the instance to the control plane, periodically and on change.
+
+Serving does not depend on it: a control plane that fails or does not answer has no effect on RPCs.
+"""
 from __future__ import annotations
 
 import socket
@@ -11,36 +14,43 @@
 from .driver import Driver
 from .http import Bad, read_response, write_request
 
-EVERY_S, AGAIN_S = 0.8, 0.2  # an entry lapses 3 s after the last report
-TIMEOUT_S = 0.3  # a change of health waits no longer for the answer to the report before
+EVERY_S, AGAIN_S = 0.8, 0.2  # an entry of the control plane expires 3 s after the last report
+TIMEOUT_S = 0.3  # short, since a change of health has to wait for the response to the previous report
 
 
 class Registry:
+    """Reports the health that the driver publishes to the control plane, from a thread of its own."""
+
     def __init__(self, address: Address, name: str, driver: Driver, pool: Pool, counters: Counters,
                  log: Any) -> None:
         self.address, self.path, self.driver = address, f"/v2/endpoints/{name}", driver
         self.counters, self.log = counters, log
         self.buffer = pool.take()
         self.stopped = False
-        self.hold_us = 0  # before the first report, where many may start at once
+        self.hold_us = 0  # delay before the first report, microseconds; spreads the reports of a mass start
 
     def report_forever(self) -> None:
+        """Sends reports until stopped."""
         time.sleep(self.hold_us / 1e6)
         while not self.stopped:
             self.driver.changed.clear()
-            good = self._report(self.driver.healthy)
-            self.counters.add("registry.reports" if good else "registry.failures")
-            self.driver.changed.wait(EVERY_S if good else AGAIN_S)
+            accepted = self._report(self.driver.healthy)
+            self.counters.add("registry.reports" if accepted else "registry.failures")
+            self.driver.changed.wait(EVERY_S if accepted else AGAIN_S)
 
     def move(self, address: Address) -> None:
+        """Reports to another address from now on."""
         if address != self.address:
             self.address = address
-            self.driver.changed.set()  # it must hear of this instance before the entry lapses
+            self.driver.changed.set()  # reports at once: the new one must have an entry before the old expires
 
     def _report(self, healthy: bool) -> bool:
-        """One report, on a connection of its own, where no other's late reply can be taken for its own."""
+        """Sends one report and returns whether it was accepted.
+
+        Each report has its own connection, so that a late response to another cannot be taken for its own.
+        """
         body = b'{"condition":"Ready"}' if healthy else b'{"condition":"NotReady"}'
-        address, until = self.address, time.monotonic() + TIMEOUT_S
+        address, deadline = self.address, time.monotonic() + TIMEOUT_S
         try:
             with socket.create_connection(address, TIMEOUT_S) as sock:
                 fields = {"Connection": "close"}
@@ -48,12 +58,12 @@
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
                 bound(sock, socket.SO_SNDTIMEO, TIMEOUT_S)
                 sock.sendall(write_request("PUT", self.path, f"{address[0]}:{address[1]}", fields, body))
-                reply = read_response(Stream(sock, self.buffer), until)
-        except Bad as bad:
-            self.log.warning("control plane reply cannot be read", why=str(bad))
+                reply = read_response(Stream(sock, self.buffer), deadline)
+        except Bad as error:
+            self.log.warning("malformed response from the control plane", why=str(error))
             return False
         except (OSError, Broken):
             return False
         if reply.status != 204:
-            self.log.warning("control plane declined a report", status=reply.status)
+            self.log.warning("control plane rejected a report", status=reply.status)
         return reply.status == 204
