--- a/hollystage/service/allotment.py
+++ b/hollystage/service/allotment.py
@@ -1,7 +1,8 @@
-"""The part of the fleet's calls that this instance may make, brought to the module as a bound, and what it uses back.
+"""Applies this instance's allocation of the fleet's calls to the call limit, and reports the usage.
 
-Asked under the driver's lock; what the treasury says is read whole and without a lock. A part that ends is
-told before the next decision, not at the next tick: a process that slept goes by nothing that ended meanwhile.
+Called under the driver's lock. The tables of the budget endpoint are read whole and without a lock. An expired
+allocation is replaced before the next decision, not at the next tick, so that a process that was suspended never acts
+on an allocation that expired meanwhile.
 """
 from __future__ import annotations
 
@@ -11,51 +12,59 @@
 from ..fleet.treasury import Treasury
 from ..policy.buckets import CALLING, WAITING
 
-LEAST = 0.25  # of its part that the limit on calls does not go below
-BOUND = 0.9  # of its part that the limit must allow for what waits to wait for the part
-SHUT = 200_000  # microseconds without a call, told anew at each tick
-NOTHING = 0.001
+LEAST = 0.25  # lower bound of the call limit as a share of the allocation
+BOUND = 0.9  # share of the allocation from which on waiting RPCs wait for the budget, not for the limit
+SHUT = 200_000  # microseconds for which calls are postponed without an allocation, renewed at each tick
+NOTHING = 0.001  # bound of the call limit without an allocation
 
 
 class Allotment:
-    def __init__(self, treasury: Treasury, budget: str) -> None:
-        self.treasury, self.budget = treasury, budget
+    """Bounds the call limit of a decision module by the allocation of one budget."""
+
+    def __init__(self, endpoint: Treasury, budget: str) -> None:
+        self.treasury, self.budget = endpoint, budget
         self.adopted, self.waiting = 0, 0
         self.share, self.weight, self.shut = 1.0, 1.0, False
-        self.most = 0.0  # as last told
+        self.most = 0.0  # upper bound applied last
 
     def tick(self, control: Control, share: float, now: int) -> int:
-        """`share`: of its part that a cold instance may use. Returns when what was told ends."""
+        """Measures the demand and applies the allocation.
+
+        `share`: share of the allocation that a cold instance may use. Returns the time at which the limit expires.
+        """
         self.share = share
-        waits = [rpc.method.criticality for line in control.waits for _, _, rpc in line if rpc.place == WAITING]
-        if waits:
-            self.weight = max(1e-3, sum(waits) / len(waits))
-        # what waits for the limit that the module learned would wait as well with a greater part
-        self.waiting = len(waits) if control.below.value >= BOUND * self.adopted or not self.adopted else 0
+        waiting = [rpc.method.criticality for queue in control.waits for _, _, rpc in queue if rpc.place == WAITING]
+        if waiting:
+            self.weight = max(1e-3, sum(waiting) / len(waiting))
+        # RPCs that wait because the learned limit is lower would not be helped by a larger allocation
+        self.waiting = len(waiting) if control.below.value >= BOUND * self.adopted or not self.adopted else 0
         return self.bind(control, now)
 
     def bind(self, control: Control, now: int) -> int:
-        """The bounds, and the word that they are gone by: said first, and taken back where they were just changed,
-        so that whoever gives our part away never reads an older word."""
+        """Applies the current allocation and returns the time at which it expires.
+
+        The applied limit is published before it takes effect, and again if the allocation was replaced meanwhile, so
+        that the claimant never gives units away on the basis of an outdated applied limit.
+        """
         while True:
             steps = self.treasury.steps[self.budget]
-            self.adopted = part = at(steps, now)
-            using = control.places[CALLING] + len(control.lingering)
+            self.adopted = units = at(steps, now)
+            in_use = control.places[CALLING] + len(control.lingering)
             self.treasury.uses = self.treasury.uses | {
-                self.budget: Use(part, using, self.waiting, self.weight)}
+                self.budget: Use(units, in_use, self.waiting, self.weight)}
             if self.treasury.steps[self.budget] is steps:
                 break
-        if part < 1:
+        if units < 1:
             control.below.bound(NOTHING, NOTHING)
             control.next_call = max(control.next_call, now + SHUT)
             self.shut = True
         else:
             if self.shut:
                 control.next_call, self.shut = now, False
-            most = max(1.0, float(int(part * self.share)))
-            # what the limit has learned is a share of the part: a part that grows is there to be used at once
+            max_calls = max(1.0, float(int(units * self.share)))
+            # the limit is learned as a share of the allocation: a larger allocation is usable at once
             learned = min(1.0, control.below.value / self.most) if self.most else 1.0
-            control.below.bound(max(1.0, LEAST * most), most)
-            control.below.value = max(control.below.value, learned * most)
-            self.most = most
-        return min(until for until, _ in steps if now < until)
+            control.below.bound(max(1.0, LEAST * max_calls), max_calls)
+            control.below.value = max(control.below.value, learned * max_calls)
+            self.most = max_calls
+        return min(end for end, _ in steps if now < end)
--- a/hollystage/service/peers.py
+++ b/hollystage/service/peers.py
@@ -1,7 +1,7 @@
-"""The instance among the others: its agent, its state's folder, and what it says of itself.
+"""The optional parts of an instance that deal with the fleet and with stored state.
 
-Imported only where the plan asks for one of the two; whatever is wrong with them is told in one line, and serving
-goes on.
+Imported only if the plan enables one of the two. A fault in their configuration is logged in one line, and the
+instance serves without the part.
 """
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 from .interpreter import Link
 from .steering import Steering
 
-PERIODS = 12  # questions about its parts in a lease's length
+PERIODS = 12  # claims for budgets during the duration of one lease
 
 
 class Peers:
-    """Owns the folder and the agent; either may be missing."""
+    """Owns the state folder, the membership agent and the recovery manager; folder and agent may be None."""
 
     def __init__(self, config: Config, driver: Driver, link: Link, counters: Counters, log: Any) -> None:
         self.driver, self.link, self.counters, self.log = driver, link, counters, log
@@ -41,43 +41,46 @@
         self.served = False
         self.folder = self._folder(config)
         self.boot = boots.next_boot(self.folder, self.clock() // 1000, log)
-        given, fleet = state(config), config.plan.one(sections.Fleet) if config.plan is not None else None
-        # a seed that many share would let all of them draw the same moment
+        stored, fleet = state(config), config.plan.one(sections.Fleet) if config.plan is not None else None
+        # instances that share a configured seed must not draw the same start times
         self.seed = int(config.seed, 16) ^ crc32(config.name.encode())
         names = [profile.name for profile in config.settings.profiles]
         instances = fleet.instances if fleet is not None else int(config.settings.peers_total)
-        self.steering = Steering(driver, names, instances, self.folder, given.every if given is not None else 0,
+        self.steering = Steering(driver, names, instances, self.folder, stored.every if stored is not None else 0,
                                  self.boot, self.seed, self.clock, counters, log)
-        terms = peering(config)
-        self.agent = self.steering.agent = self._agent(config, terms) if terms is not None else None
+        settings = peering(config)
+        self.agent = self.steering.agent = self._agent(config, settings) if settings is not None else None
         if self.agent is not None:
             self.agent.lenders["learned"] = self.steering.lend
             self._divide(config, self.agent)
 
     def _folder(self, config: Config) -> Folder | None:
-        given = state(config)
-        if given is None:
+        """Opens the state folder; None if there is none or it cannot be used."""
+        stored = state(config)
+        if stored is None:
             return None
         try:
-            return Folder(given.path, config.name)
-        except Unusable as bad:
-            self.log.error("serving goes on without stored state", why=str(bad))
+            return Folder(stored.path, config.name)
+        except Unusable as error:
+            self.log.error("serving goes on without stored state", why=str(error))
             return None
 
-    def _agent(self, config: Config, terms: Peering) -> Agent | None:
+    def _agent(self, config: Config, settings: Peering) -> Agent | None:
+        """Returns the membership agent; None if the fleet's key cannot be used."""
         try:
-            key = read_key(terms.key_file)
-        except Damaged as bad:
-            self.log.error("serving goes on without peers", why=f"fleet.key: {bad}")
+            key = read_key(settings.key_file)
+        except Damaged as error:
+            self.log.error("serving goes on without peers", why=f"fleet.key: {error}")
             return None
-        of = dataclasses.replace(times(terms.period), expected=self.steering.instances)
-        return Agent(config.name, terms.zone, terms.bind, terms.advertise, terms.peers, key, terms.cluster, of,
-                     self.seed, self.boot, self.digest, self._keep, self.clock, self.counters, self.log)
+        parameters = dataclasses.replace(times(settings.period), expected=self.steering.instances)
+        return Agent(config.name, settings.zone, settings.bind, settings.advertise, settings.peers, key,
+                     settings.cluster, parameters, self.seed, self.boot, self.digest, self._keep, self.clock,
+                     self.counters, self.log)
 
     def _divide(self, config: Config, agent: Agent) -> None:
-        """The budgets' talk, on the agent's sockets, and their bounds, through the steering."""
-        given = budgeting(config)
-        if given is None:
+        """Joins the budgets. Their messages use the agent's sockets; the recovery manager applies the limit."""
+        settings = budgeting(config)
+        if settings is None:
             return
         from ..decisions.budgets.office import Office
         from ..decisions.budgets.terms import Budget
@@ -86,18 +89,21 @@
         from ..fleet.treasury import Treasury
         from .allotment import Allotment
 
-        me, leases = agent.members.me, given.leases
-        of = Terms(leases.length, leases.drift)
-        office = Office(
+        me, leases = agent.members.me, settings.leases
+        parameters = Terms(leases.length, leases.drift)
+        participant = Office(
             Who(me.name, me.birth),
-            [Budget(one.name, one.whole, one.floor, one.most or 1, one.use or 1, one.kept) for one in given.budgets],
-            of, leases.length // PERIODS, Electorate(tuple(leases.voters), tuple(leases.before), leases.generation),
-            of, self.seed, self.clock(), self.boot)
-        agent.tenant = treasury = Treasury(office, self.clock)
-        if given.calls:
-            self.steering.allot(Allotment(treasury, given.calls))
+            [Budget(budget.name, budget.whole, budget.floor, budget.most or 1, budget.use or 1, budget.kept)
+             for budget in settings.budgets],
+            parameters, leases.length // PERIODS,
+            Electorate(tuple(leases.voters), tuple(leases.before), leases.generation),
+            parameters, self.seed, self.clock(), self.boot)
+        agent.tenant = endpoint = Treasury(participant, self.clock)
+        if settings.calls:
+            self.steering.allot(Allotment(endpoint, settings.calls))
 
     def tasks(self) -> list[Callable[[], None]]:
+        """Returns the loops to run, each in a thread of its own."""
         agent, tasks = self.agent, [self.steering.keep_forever]
         if agent is None:
             return tasks if self.folder is not None else []
@@ -105,10 +111,11 @@
 
     @property
     def view(self) -> View | None:
-        """Read without a lock, as it was some moments ago; None without peers."""
+        """The latest membership view, read without a lock; None without peers."""
         return self.agent.view if self.agent is not None else None
 
     def digest(self) -> Digest:
+        """Returns the status that this instance publishes to its peers."""
         steering = self.steering
         return Digest(stage=self._stage(), plan=self.plan, age=steering.learned_age, pressure=steering.level,
                       machine=machine_mark(self.driver.settings))
@@ -123,22 +130,26 @@
         return Stage.COLD if settings.cold and self.clock() - control.born < settings.warm_after else Stage.SERVING
 
     def _keep(self, boot: int) -> None:
-        """Peers remembered a greater one than our clock and our folder gave."""
+        """Stores a raised boot number: peers know a greater one than the clock and the folder yielded."""
         self.boot = self.steering.boot = boot
         if self.folder is not None:
             boots.keep(self.folder, boot, self.log)
 
     def replanned(self, plan: Plan | None) -> None:
+        """Publishes the fingerprint of a plan that was reloaded."""
         self.plan = plan_mark(plan)
 
     def figures(self) -> dict[str, float]:
+        """Returns gauges of recovery and membership, for the log."""
         return self.steering.figures() | (self.agent.figures() if self.agent is not None else {})
 
     def leave(self) -> None:
+        """Announces to the peers that this instance leaves."""
         if self.agent is not None:
             self.agent.leave()
 
     def stop(self) -> None:
+        """Ends the threads and closes the state folder."""
         self.steering.stopped = True
         if self.agent is not None:
             self.agent.stop()
@@ -147,15 +158,15 @@
 
 
 def times(period: int) -> Terms:
-    """All times of membership follow its period; a link's answer is awaited for three tenths of it."""
-    usual = Terms()
-    return Terms(period=period, timeout=period * usual.timeout // usual.period,
-                 ask_lost=period * usual.ask_lost // usual.period)
+    """Scales the default membership times to a probe period; the ack timeout stays three tenths of it."""
+    default = Terms()
+    return Terms(period=period, timeout=period * default.timeout // default.period,
+                 ask_lost=period * default.ask_lost // default.period)
 
 
 def plan_mark(plan: Plan | None) -> int:
-    """32 bits of what the plan means; 0 without one."""
+    """Returns a 32-bit hash of the meaning of the plan, without the places of its entries; 0 without a plan."""
     if plan is None:
         return 0
-    rows = [[word, fields] for word, fields, _, _ in packed(plan)]
+    rows = [[section, fields] for section, fields, _, _ in packed(plan)]
     return int.from_bytes(digest(msgspec.msgpack.encode(rows), None)[:4], "big")
