--- a/hollystage/service/__init__.py
+++ b/hollystage/service/__init__.py
@@ -1,1 +1,1 @@
-"""The real service instance: the decision module on real sockets."""
+"""The service instance: runs the decision module on real sockets."""
--- a/hollystage/service/config.py
+++ b/hollystage/service/config.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given defaults."""
+"""Reads and checks the configuration and supplies its defaults."""
 from __future__ import annotations
 
 from typing import Annotated, Any
@@ -14,7 +14,8 @@
 
 
 def _is_host(text: str) -> bool:
-    """
+    """Returns whether the text is a valid host name or IPv4 address.
+
     >>> [_is_host(text) for text in ("127.0.0.1", "ledger.local", "", "a..b", "x" * 64)]
     [True, True, False, False, False]
     """
@@ -25,7 +26,7 @@
 
 
 class Limits(msgspec.Struct):
-    """What the process itself may use."""
+    """Resource limits of this process."""
 
     cores: Annotated[float, msgspec.Meta(gt=0)] = 1.0
     memory_mb: Annotated[float, msgspec.Meta(ge=32)] = 192
@@ -33,6 +34,8 @@
 
 
 class Config(msgspec.Struct):
+    """The configuration of an instance: the platform's JSON, over the values of a plan if there is one."""
+
     name: Annotated[str, msgspec.Meta(pattern=r"^[A-Za-z0-9._-]+$")]
     listen: str
     vm: str
@@ -42,11 +45,12 @@
     seed: Annotated[str, msgspec.Meta(pattern=r"^[0-9a-fA-F]{1,16}$")] = "0"
     stop_ms: Annotated[float, msgspec.Meta(gt=0)] = 3000
     limits: Limits = msgspec.field(default_factory=Limits)
-    plan: Plan | None = None  # where one was named
-    overruled: list[str] = []  # keys that plan and JSON both have: the JSON's count
+    plan: Plan | None = None  # set by parse(), never read from the JSON
+    overruled: list[str] = []  # keys that both plan and JSON set; those of the JSON apply
 
     def address(self, key: str) -> Address:
-        """
+        """Returns the host and port of an address key.
+
         >>> address = Config.address
         >>> class Given: listen, vm = "127.0.0.1:80", "somewhere"
         >>> address(Given, "listen")
@@ -63,28 +67,28 @@
 
 
 def parse(text: bytes, plan: Plan | None = None) -> Config:
-    """The platform's JSON over what a plan says; the JSON's own keys win.
+    """Combines the platform's JSON with the values of a plan; keys of the JSON take precedence.
 
     Raises:
-        Faulty: naming the key.
+        ConfigError: the message names the key.
     """
-    given = _decoded(text) if text else {}
-    said = plan.configuration() if plan is not None else {}
+    from_json = _decoded(text) if text else {}
+    from_plan = plan.configuration() if plan is not None else {}
     try:
-        config = msgspec.convert(said | given, Config)
-    except msgspec.ValidationError as bad:
-        raise Faulty(f"configuration: {bad}") from bad
+        config = msgspec.convert(from_plan | from_json, Config)
+    except msgspec.ValidationError as error:
+        raise Faulty(f"configuration: {error}") from error
     for key in ("listen", "vm", "control", "ledger"):
         config.address(key)
     names = [profile.name for profile in config.settings.profiles]
-    for at, name in enumerate(names):
-        if not name or name in names[:at]:
-            raise Faulty(f"settings.Profiles[{at}].Name: {name!r} is no name of its own")
+    for index, name in enumerate(names):
+        if not name or name in names[:index]:
+            raise Faulty(f"settings.Profiles[{index}].Name: {name!r} is empty or not unique")
     if plan is not None:
-        config.plan, config.overruled = plan, sorted(key for key in said if key in given)
+        config.plan, config.overruled = plan, sorted(key for key in from_plan if key in from_json)
         for entry in plan.entries:
-            named = [getattr(entry.value, "method", None), *getattr(entry.value, "methods", [])]
-            for method in named:
+            methods = [getattr(entry.value, "method", None), *getattr(entry.value, "methods", [])]
+            for method in methods:
                 if method is not None and method not in names:
                     raise Faulty(f"plan: {entry.origin}: {entry.value.word} names the method {method!r}, "
                                  "which the settings lack")
@@ -92,44 +96,46 @@
 
 
 def _decoded(text: bytes) -> dict[str, Any]:
+    """Decodes the JSON object, without the keys that only parse() sets."""
     try:
-        given = msgspec.json.decode(text)
-    except (msgspec.DecodeError, RecursionError) as bad:
-        raise Faulty(f"configuration is not JSON: {bad}") from bad
-    if not isinstance(given, dict):
+        decoded = msgspec.json.decode(text)
+    except (msgspec.DecodeError, RecursionError) as error:
+        raise Faulty(f"configuration is not JSON: {error}") from error
+    if not isinstance(decoded, dict):
         raise Faulty("configuration: Expected `object`")
-    return {key: value for key, value in given.items() if key not in ("plan", "overruled")}
+    return {key: value for key, value in decoded.items() if key not in ("plan", "overruled")}
 
 
 def pooling(config: Config) -> tuple[Pooling | None, Below]:
-    """What the plan says of pools, in the module's words; methods are numbered as the settings have them.
+    """Converts the pools and the call limit of the plan to the types of the decision module.
 
-    A method in no pool goes to the last one. The limit is that of the ledger that the instance uses.
+    Methods are numbered in the order of the settings. A method that no pool names belongs to the last pool. The call
+    limit is that of the ledger that the instance uses.
     """
     plan = config.plan
     if plan is None:
         return None, Below()
     limit = next(iter(plan.of(sections.Limit)), None)
-    below = Below() if limit is None else Below(limit.policy, float(limit.least), float(limit.most))
+    call_limit = Below() if limit is None else Below(limit.policy, float(limit.least), float(limit.most))
     pools = plan.of(sections.Pool)
     if not pools:
-        return None, below
+        return None, call_limit
     names = [pool.name for pool in pools]
-    of = {method: names.index(pool.name) for pool in pools for method in pool.methods}
+    pool_of_method = {method: names.index(pool.name) for pool in pools for method in pool.methods}
     for route in plan.of(sections.Route):
-        # a route by tenant or object is for the fronts that tell them
+        # routes by tenant or object apply only in front ends that know them
         if route.pool is not None and route.method is not None and route.tenant is None and route.object is None:
-            of.setdefault(route.method, names.index(route.pool))
+            pool_of_method.setdefault(route.method, names.index(route.pool))
     reserve = plan.one(sections.Reserve) or sections.Reserve()
     return Pooling(
         tuple(Pool(p.name, p.guaranteed, p.ceiling, p.lends, p.heir or "", p.retries, p.floor, p.limit or "")
               for p in pools),
-        tuple(of.get(profile.name, len(pools) - 1) for profile in config.settings.profiles),
-        Reserve(reserve.running, reserve.memory, reserve.calls)), below
+        tuple(pool_of_method.get(profile.name, len(pools) - 1) for profile in config.settings.profiles),
+        Reserve(reserve.running, reserve.memory, reserve.calls)), call_limit
 
 
 class Peering(msgspec.Struct, frozen=True):
-    """How this instance talks to the others; times in microseconds."""
+    """Settings of the communication between instances; times in microseconds."""
 
     bind: str
     advertise: str
@@ -141,24 +147,24 @@
 
 
 def peering(config: Config) -> Peering | None:
-    """None where the plan does not switch it on: then nothing of the fleet's package is even imported."""
-    given = config.plan.one(sections.Fleet) if config.plan is not None else None
-    if given is None or given.bind is None or given.key is None:
+    """Returns None unless the plan enables communication; the package for the fleet is not even imported then."""
+    fleet = config.plan.one(sections.Fleet) if config.plan is not None else None
+    if fleet is None or fleet.bind is None or fleet.key is None:
         return None
-    return Peering(given.bind, given.advertise or given.bind, given.peers, given.zone, given.cluster, given.key,
-                   given.period)
+    return Peering(fleet.bind, fleet.advertise or fleet.bind, fleet.peers, fleet.zone, fleet.cluster, fleet.key,
+                   fleet.period)
 
 
 class Budgeting(msgspec.Struct, frozen=True):
-    """What is divided among the instances, and by whose leave; times in microseconds."""
+    """The budgets of the fleet and the leases that their allocation needs; times in microseconds."""
 
     leases: fleetwide.Leases
-    budgets: list[fleetwide.Budget]  # with all their defaults
-    calls: str  # the one that bounds the calls below; empty for none
+    budgets: list[fleetwide.Budget]  # with defaults filled in
+    calls: str  # name of the budget that bounds the downstream calls; empty for none
 
 
 def budgeting(config: Config) -> Budgeting | None:
-    """None where the plan has no budgets, or instances that do not talk: then nothing of them is imported."""
+    """Returns None if the plan has no budgets or its instances do not communicate; nothing is imported then."""
     plan = config.plan
     if plan is None or peering(config) is None:
         return None
@@ -166,53 +172,58 @@
     if leases is None or not budgets:
         return None
     fleet = plan.one(sections.Fleet) or sections.Fleet()
-    longest = int(max(profile.give_up_us for profile in config.settings.profiles)
+    max_use = int(max(profile.give_up_us for profile in config.settings.profiles)
                   + config.settings.domain.stays_for_us)
     return Budgeting(leases, [msgspec.structs.replace(
-        given, most=given.most or fleet.instances, use=given.use or longest) for given in budgets],
-        next((given.name for given in budgets if given.of == "calls"), ""))
+        budget, most=budget.most or fleet.instances, use=budget.use or max_use) for budget in budgets],
+        next((budget.name for budget in budgets if budget.of == "calls"), ""))
 
 
 def state(config: Config) -> sections.State | None:
-    """Where what outlives the process is kept; None for nowhere, and then nothing of the store is imported."""
+    """Returns the settings of the stored state; None if none is stored, and then the store is not imported."""
     return config.plan.one(sections.State) if config.plan is not None else None
 
 
 def promises(config: Config) -> bool:
-    given = config.plan.one(sections.Refusals) if config.plan is not None else None
-    return given is not None and given.promises
+    """Returns whether the retry times given to callers reserve slots."""
+    refusals = config.plan.one(sections.Refusals) if config.plan is not None else None
+    return refusals is not None and refusals.promises
 
 
 def check_files(config: Config) -> None:
-    """What a start would tell in its log and go on without.
+    """Checks the files that a start would only log as faulty and then serve without.
 
     Raises:
-        Faulty: the fleet's key cannot be used.
+        ConfigError: the fleet's key cannot be used.
     """
     from ..plan.compiled import Damaged, read_key
 
-    given = peering(config)
-    if given is not None:
+    fleet = peering(config)
+    if fleet is not None:
         try:
-            read_key(given.key_file)
-        except Damaged as bad:
-            raise Faulty(f"fleet.key: {bad}") from bad
+            read_key(fleet.key_file)
+        except Damaged as error:
+            raise Faulty(f"fleet.key: {error}") from error
 
 
 def load(path: str, plan_path: str = "", key_path: str = "") -> Config:
     """Reads the platform's JSON, a plan, or both.
 
     Raises:
-        Faulty: with the key, or the plan's first fault with its file and line.
+        ConfigError: the message names the key, or the first fault of the plan with its file and line.
     """
     if not path and not plan_path:
-        raise Faulty("PROXY_CONFIG: no configuration file is named")
+        raise Faulty("PROXY_CONFIG: no configuration file is given")
     plan = load_plan(plan_path, key_path) if plan_path else None
     return parse(_content(path, "PROXY_CONFIG") if path else b"", plan)
 
 
 def load_plan(path: str, key_path: str = "") -> Plan:
-    """A script, or a compiled plan: for that the language is not even imported."""
+    """Reads a plan: a script or a compiled plan, for which the script language is not even imported.
+
+    Raises:
+        ConfigError: the plan cannot be used.
+    """
     from ..plan.compiled import Damaged, is_compiled, read_key
     from ..plan.compiled import parse as parse_compiled
 
@@ -220,22 +231,23 @@
         data = _content(path, "plan", 64)
         if is_compiled(data):
             return parse_compiled(_content(path, "plan"), read_key(key_path) if key_path else None)
-    except Damaged as bad:
-        raise Faulty(f"plan: {path}: {bad}") from bad
+    except Damaged as error:
+        raise Faulty(f"plan: {path}: {error}") from error
     if key_path:
-        raise Faulty(f"plan: {path}: a script has no keyed digest: build it, or name no key")
+        raise Faulty(f"plan: {path}: a script has no keyed digest: build the plan, or omit the key")
     from ..language.faults import Unusable
     from ..plan.read import load as load_script
 
     try:
         return load_script(path)
-    except Unusable as bad:
-        raise Faulty(f"plan: {bad}") from bad
+    except Unusable as error:
+        raise Faulty(f"plan: {error}") from error
 
 
-def _content(path: str, key: str, most: int = -1) -> bytes:
+def _content(path: str, key: str, max_size: int = -1) -> bytes:
+    """Reads up to `max_size` bytes of a file, -1 for all; `key` names the setting in the error."""
     try:
         with open(path, "rb") as file:
-            return file.read(most)
-    except OSError as bad:
-        raise Faulty(f"{key}: {path} cannot be read: {bad.strerror}") from bad
+            return file.read(max_size)
+    except OSError as error:
+        raise Faulty(f"{key}: {path} cannot be read: {error.strerror}") from error
--- a/hollystage/service/instance.py
+++ b/hollystage/service/instance.py
@@ -1,4 +1,4 @@
-"""One service instance, put together from its parts; other programs may embed it."""
+"""One service instance, assembled from its parts; other programs may embed it."""
 from __future__ import annotations
 
 import contextlib
@@ -26,12 +26,18 @@
     from .peers import Peers
 
 STACK = 256 * 1024
-MARGIN_S = 0.1  # before the kill
-LAST_S = 0.5  # for what is open where the notice was heard too late for all of it
+MARGIN_S = 0.1  # time left between the end of the drain and the kill
+LAST_S = 0.5  # minimum time for open RPCs if the drain signal was received late
 PEERS = ("vm", "ledger", "control")
 
 
 class Instance:
+    """Listener, driver, interpreter link, ledger client and health reports, and the optional peers.
+
+    Raises:
+        OSError: the listen address cannot be used.
+    """
+
     def __init__(self, config: Config, log: Any) -> None:
         self.config, self.log = config, log
         self.counters, pool = Counters(), Pool()
@@ -54,7 +60,7 @@
             self.registry.hold_us = self.peers.steering.turns.wait("report", self.peers.steering.instances)
 
     def _peers(self) -> Peers | None:
-        """Without a plan that asks for it, nothing of the talk between instances or of the store is loaded."""
+        """Imports the packages for the fleet and for stored state only if the plan enables one of them."""
         if peering(self.config) is None and state(self.config) is None:
             return None
         from .peers import Peers
@@ -62,33 +68,34 @@
         return Peers(self.config, self.driver, self.link, self.counters, self.log)
 
     def start(self) -> None:
-        threading.stack_size(STACK)  # also of the connections' threads to come
+        """Starts the threads and returns."""
+        threading.stack_size(STACK)  # also applies to the threads of later connections
         for task in (self.link.write_forever, self.link.read_forever, self.driver.tick_forever,
                      self.clients.watch_forever, self.clients.accept_forever, self.registry.report_forever,
                      *(self.peers.tasks() if self.peers is not None else ())):
             threading.Thread(target=self._go_on, args=(task,), name=task.__qualname__, daemon=True).start()
         self.log.info("serving", listen=self.config.listen)
         if self.config.overruled:
-            self.log.info("keys of the plan that the JSON overrules", keys=self.config.overruled)
+            self.log.info("JSON overrides keys of the plan", keys=self.config.overruled)
         if self.config.plan is not None and self.config.plan.idle():
-            self.log.warning("sections of the plan without effect in this version",
+            self.log.warning("plan contains sections without effect in this version",
                              sections=self.config.plan.idle())
 
     def reload(self, config: Config) -> None:
-        """Takes the addresses of the peers; what cannot change while it serves is kept, and logged."""
+        """Applies new addresses, pools and the plan's fingerprint; logs changes that need a restart."""
         kept = [key for key in ("name", "listen", "settings", "stop_ms", "limits")
                 if getattr(config, key) != getattr(self.config, key)]
         if peering(config) != peering(self.config):
             kept.append("fleet")
         if state(config) != state(self.config):
             kept.append("state")
-        moved = [key for key in PEERS if getattr(config, key) != getattr(self.config, key)]
+        applied = [key for key in PEERS if getattr(config, key) != getattr(self.config, key)]
         self.config.plan = config.plan
-        # the JSON's methods stay until a restart: a plan that names others was refused when it was read
-        pools, below = pooling(msgspec.structs.replace(config, settings=self.config.settings))
+        # the methods of the JSON stay until a restart: a plan that names others was rejected when it was read
+        pools, call_limit = pooling(msgspec.structs.replace(config, settings=self.config.settings))
         if self.driver.repool(pools):
-            moved.append("pools")
-        if below != self.driver.settings.below:
+            applied.append("pools")
+        if call_limit != self.driver.settings.below:
             kept.append("limit")
         if self.peers is not None:
             self.peers.replanned(config.plan)
@@ -98,44 +105,46 @@
         self.ledger.move(config.address("ledger"))
         self.registry.move(config.address("control"))
         self.counters.add("instance.reloads")
-        self.log.info("configuration read anew", taken=moved, kept_until_a_restart=kept)
+        self.log.info("configuration read anew", taken=applied, kept_until_a_restart=kept)
 
     def _go_on(self, task: Callable[[], None]) -> None:
-        """A task returns once it is stopped; guards all it serves against a fault in the handling of one."""
-        with contextlib.suppress(AttributeError, OSError):  # Linux; the connections' threads inherit it
-            # guards against a thread that is woken and takes the core from its waker, only to wait for the
-            # interpreter lock that this one still holds: a tenth of the CPU on a day of much traffic
+        """Runs a loop until it returns, and again after an exception, so that one fault does not stop the service."""
+        with contextlib.suppress(AttributeError, OSError):  # Linux; threads of connections inherit the policy
+            # with the default policy a thread that is woken preempts its waker, only to wait for the global
+            # interpreter lock that the waker still holds: this cost a tenth of the CPU under heavy traffic
             os.sched_setscheduler(0, os.SCHED_BATCH, os.sched_param(0))
         while True:
             try:
                 return task()
             except Exception:
                 self.counters.add("instance.faults")
-                self.log.exception("a task failed and goes on", task=task.__qualname__)
+                self.log.exception("a task failed; restarting it", task=task.__qualname__)
                 time.sleep(0.05)
 
-    def drain(self, given: int | None = None) -> None:
-        """Leaves: serves through the grace, then takes nothing new; returns once all is answered.
+    def drain(self, given_at: int | None = None) -> None:
+        """Serves through the grace period, then accepts nothing new.
+
+        Returns once all connections are closed, or shortly before the kill.
 
-        `given`: when the notice was given, in microseconds of the driver's clock; now if not told.
+        `given_at`: time of the drain signal in microseconds of the driver's clock; None for now.
         """
-        now, left = clock(), self.config.stop_ms / 1000
-        given = now if given is None else given
-        begun = time.monotonic() - (now - given) / 1e6
-        self.log.info("draining", stop_ms=self.config.stop_ms, heard_after_ms=(now - given) // 1000)
-        self.driver.leave(int(left * 1e6), given)
-        until = max(begun + left - MARGIN_S, time.monotonic() + LAST_S)
-        grace = min(self.driver.settings.drain_grace / 1e6, left - 5 * MARGIN_S)
+        now, stop_s = clock(), self.config.stop_ms / 1000
+        given_at = now if given_at is None else given_at
+        begun = time.monotonic() - (now - given_at) / 1e6
+        self.log.info("draining", stop_ms=self.config.stop_ms, heard_after_ms=(now - given_at) // 1000)
+        self.driver.leave(int(stop_s * 1e6), given_at)
+        deadline = max(begun + stop_s - MARGIN_S, time.monotonic() + LAST_S)
+        grace = min(self.driver.settings.drain_grace / 1e6, stop_s - 5 * MARGIN_S)
         time.sleep(max(0.0, begun + grace - time.monotonic()))
         self.clients.close()
-        while self.clients.count() and time.monotonic() < until:
+        while self.clients.count() and time.monotonic() < deadline:
             time.sleep(0.01)
         if self.peers is not None:
             self.peers.leave()
         self.log.info("drained", connections=self.clients.count(), **self.counters.read())
 
     def figures(self) -> dict[str, float]:
-        """What the parts believe, for the log."""
+        """Returns gauges of the driver and the peers, for the log."""
         return self.driver.figures() | (self.peers.figures() if self.peers is not None else {})
 
     def stop(self) -> None:
