--- a/hollystage/__main__.py
+++ b/hollystage/__main__.py
@@ -1,4 +1,4 @@
-"""The main program."""
+"""Entry point of `python -m hollystage`."""
 from .cli import app
 
 if __name__ == "__main__":
--- a/hollystage/benchlink/__init__.py
+++ b/hollystage/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts instances of the decision module on the bench's wire. The bench's servers are simulated."""
+"""Adapter that runs decision modules for the simulated servers of the bench, over its binary protocol."""
--- a/hollystage/benchlink/__main__.py
+++ b/hollystage/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point: batches on standard input, one reply to each on standard output."""
+"""Entry point: reads batches from standard input and writes one reply to each to standard output."""
 import sys
 
 from .frames import Malformed, read_batches
@@ -6,13 +6,14 @@
 
 
 def main() -> int:
+    """Returns the exit code: 0 at the end of the input, 1 if the output is closed, 2 for malformed input."""
     host = Host()
     try:
         for now, events in read_batches(sys.stdin.buffer):
             sys.stdout.buffer.write(host.batch(now, events))
             sys.stdout.buffer.flush()
-    except Malformed as bad:
-        print(f"benchlink: {bad}", file=sys.stderr)
+    except Malformed as error:
+        print(f"benchlink: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
         return 1
--- a/hollystage/benchlink/frames.py
+++ b/hollystage/benchlink/frames.py
@@ -1,11 +1,11 @@
-"""Frame codec: bytes of the wire to plain tuples and back."""
+"""Codec of the bench's binary protocol: decodes frames to tuples and encodes replies. Integers are big-endian."""
 from __future__ import annotations
 
 import struct
 from collections.abc import Iterator
 from typing import Any, BinaryIO
 
-Event = tuple[Any, ...]  # its name, then its fields
+Event = tuple[Any, ...]  # name, number of the instance, other fields
 EVENT_SIZE, ACTION_SIZE, LARGEST = 56, 16, 1 << 30
 EVENTS: dict[int, tuple[str, struct.Struct]] = {
     1: ("called", struct.Struct(">HQHI")),
@@ -21,11 +21,15 @@
 
 
 class Malformed(Exception):
-    """What came in is not a frame of this wire."""
+    """The input is not a valid frame of this protocol."""
 
 
 def read_batches(stream: BinaryIO) -> Iterator[tuple[int, list[Event]]]:
-    """Yield (clock, events) until the input ends between two frames."""
+    """Yields (time, events) until the input ends between two frames.
+
+    Raises:
+        FrameError: the input is malformed.
+    """
     while head := stream.read(4):
         if len(head) < 4:
             raise Malformed("input ends inside a frame's length")
@@ -39,22 +43,27 @@
 
 
 def decode(body: bytes) -> tuple[int, list[Event]]:
+    """Decodes the body of a frame to its time and events.
+
+    Raises:
+        FrameError: the body is malformed.
+    """
     count, now = struct.unpack_from(">IQ", body)
     tail = 12 + count * EVENT_SIZE
     if tail > len(body):
         raise Malformed(f"{count} events do not fit a frame of {len(body)} bytes")
     events = []
-    for at in range(12, tail, EVENT_SIZE):
-        known = EVENTS.get(body[at])
-        if known is None:
-            raise Malformed(f"unknown event code {body[at]}")
-        name, form = known
-        fields = form.unpack_from(body, at + 1)
+    for offset in range(12, tail, EVENT_SIZE):
+        event_format = EVENTS.get(body[offset])
+        if event_format is None:
+            raise Malformed(f"unknown event code {body[offset]}")
+        name, layout = event_format
+        fields = layout.unpack_from(body, offset + 1)
         if name == "init":
-            inst, seed, start, size = fields
+            instance, seed, start, size = fields
             if tail + start + size > len(body):
                 raise Malformed("settings reach past the end of the frame")
-            fields = (inst, seed, body[tail + start:tail + start + size])
+            fields = (instance, seed, body[tail + start:tail + start + size])
         events.append((name, *fields))
     return now, events
 
@@ -70,14 +79,17 @@
         self.records: list[bytes] = []
         self.tail = b""
 
-    def add(self, form: str, code: int, *fields: int | float) -> None:
-        self.records.append(struct.pack(">B" + form, code, *fields).ljust(ACTION_SIZE, b"\0"))
+    def add(self, layout: str, code: int, *fields: int | float) -> None:
+        """Adds an action; `layout`: the struct format of the fields."""
+        self.records.append(struct.pack(">B" + layout, code, *fields).ljust(ACTION_SIZE, b"\0"))
 
     def add_text(self, code: int, instance: int, text: str) -> None:
+        """Adds an action whose text is stored behind all records."""
         data = text.encode("utf-8", "replace")
         self.add("HII", code, instance, len(self.tail), len(data))
         self.tail += data
 
     def encode(self) -> bytes:
+        """Returns the reply as a frame."""
         body = b"".join(self.records) + self.tail
         return struct.pack(">II", len(body) + 4, len(self.records)) + body
--- a/hollystage/cli.py
+++ b/hollystage/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line: serving and checking a configuration; other commands are in the package `commands`."""
 from __future__ import annotations
 
 import os
@@ -16,23 +16,23 @@
 if TYPE_CHECKING:
     from .service.instance import Instance
 
-FOREVER_S, DRAIN_S = 3600, 0.01  # between looks at whether the drain is over
+FOREVER_S, DRAIN_S = 3600, 0.01  # wait for a signal; interval of checks whether the drain has finished
 
 app = typer.Typer(add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False,
                   help="Admission and scheduling inside servers behind other people's balancers.")
 ConfigPath = Annotated[str, typer.Option("--config", envvar="PROXY_CONFIG", help="The platform's JSON file.")]
 PlanPath = Annotated[str, typer.Option("--plan", envvar="HOLLYSTAGE_PLAN",
-                                       help="A plan: a script, or one that `config build` wrote.")]
+                                       help="A plan: a script, or the output of `config build`.")]
 KeyPath = Annotated[str, typer.Option("--plan-key", envvar="HOLLYSTAGE_PLAN_KEY",
-                                      help="The key file with which the plan was built.")]
+                                      help="The key file that the plan was built with.")]
 
 
 @app.command()
 def serve(config: ConfigPath = "", plan: PlanPath = "", plan_key: KeyPath = "") -> None:
-    """Serve until SIGTERM or SIGINT, then drain; a second SIGINT ends at once.
+    """Serve until SIGTERM or SIGINT, then drain; a second SIGINT exits at once.
 
-    The keys of the platform's JSON go before those of a plan.
-    SIGHUP reads both anew and takes the addresses of interpreter, ledger and control plane.
+    Keys of the platform's JSON take precedence over those of a plan.
+    SIGHUP reloads both and applies the addresses of interpreter, ledger and control plane.
     SIGUSR1 logs the counters.
     """
     entered = time.monotonic()
@@ -42,42 +42,44 @@
     from .service.instance import Instance
     from .service.log import setup
 
-    # SIGURG is our own, to look for a notice after a sleep
+    # the driver sends SIGURG to have pending signals checked after the process was suspended
     watched = {signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP, signal.SIGURG}
     signal.pthread_sigmask(signal.SIG_BLOCK, watched)
-    signal.signal(signal.SIGHUP, signal.SIG_DFL)  # ignored until here, where the file is unread
+    # SIGHUP may be ignored up to here: nothing is lost, since the files are read below
+    signal.signal(signal.SIGHUP, signal.SIG_DFL)
     try:
         settings = load(config, plan, plan_key)
         log = setup(settings.name)
         instance = Instance(settings, log)
-    except Faulty as bad:
-        _fail(str(bad))
-    except OSError as bad:
-        _fail(f"listen: {settings.listen} cannot be used: {bad.strerror}")
-    # a notice that came while this started is heard only now
+    except Faulty as error:
+        _fail(str(error))
+    except OSError as error:
+        _fail(f"listen: {settings.listen} cannot be used: {error.strerror}")
+    # a drain signal sent during the start is received only from here on
     notice = Notice(instance.driver.settings.drain_grace, clock() - int((time.monotonic() - entered) * 1e6))
     instance.driver.notice = notice
-    hearing = threading.get_ident()
-    instance.driver.look = lambda: signal.pthread_kill(hearing, signal.SIGURG)
+    signal_thread = threading.get_ident()
+    instance.driver.look = lambda: signal.pthread_kill(signal_thread, signal.SIGURG)
     instance.start()
-    stale = threading.Event()
-    # files are read on a thread of its own, so that a notice is heard in the middle of it
-    threading.Thread(target=_reload_forever, args=(stale, instance, config, plan, plan_key), daemon=True).start()
+    reload_requested = threading.Event()
+    # files are read by another thread, so that a drain signal is received even while a read blocks
+    threading.Thread(target=_reload_forever, args=(reload_requested, instance, config, plan, plan_key),
+                     daemon=True).start()
     drain: threading.Thread | None = None
-    looks = True  # whether a notice waits already is asked
-    while drain is None or drain.is_alive():  # also in a drain the peers may move
-        asked = clock()
-        match signal.sigtimedwait(watched, DRAIN_S if drain else 0 if looks else FOREVER_S):
+    polling = True  # the next wait only checks for a pending signal
+    while drain is None or drain.is_alive():  # addresses may change during a drain too
+        waited_from = clock()
+        match signal.sigtimedwait(watched, DRAIN_S if drain else 0 if polling else FOREVER_S):
             case None:
-                if looks:
-                    notice.silent(asked)
-                looks = False
+                if polling:
+                    notice.silent(waited_from)
+                polling = False
             case (signal.SIGURG, *_):
-                looks = True
+                polling = True
             case (signal.SIGUSR1, *_):
                 log.info("counters", **instance.counters.read(), **instance.figures())
             case (signal.SIGHUP, *_):
-                stale.set()
+                reload_requested.set()
             case (signal.SIGTERM | signal.SIGINT, *_) if drain is None:
                 signal.signal(signal.SIGINT, signal.SIG_DFL)
                 signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGINT})
@@ -85,44 +87,46 @@
                 drain = threading.Thread(target=instance.drain, args=(notice.given(clock()),), daemon=True)
                 drain.start()
             case _:
-                # Python 3.11: a wait that a pause interrupts past its time-out tells of a signal that nobody sent
-                looks = looks or drain is None
+                # Python 3.11: if the process is suspended past the time-out, sigtimedwait reports a signal that
+                # nobody sent
+                polling = polling or drain is None
     sys.stderr.flush()
-    os._exit(0)  # threads that wait on sockets are not waited for
+    os._exit(0)  # does not wait for threads that block on sockets
 
 
-def _reload_forever(stale: threading.Event, instance: Instance, *paths: str) -> None:
-    while stale.wait():
-        stale.clear()
+def _reload_forever(reload_requested: threading.Event, instance: Instance, *paths: str) -> None:
+    """Reloads the configuration at each request."""
+    while reload_requested.wait():
+        reload_requested.clear()
         try:
             _reload(instance, *paths)
         except Exception:
-            instance.log.exception("the configuration could not be read anew")
+            instance.log.exception("reloading the configuration failed")
 
 
 def _reload(instance: Instance, *paths: str) -> None:
-    """Nothing in a new file may end the process: a faulty one leaves all as it is."""
+    """Reloads the configuration. An invalid file changes nothing and must not end the process."""
     from .service.config import load
 
     try:
         instance.reload(load(*paths))
-    except Faulty as bad:
-        instance.log.error("the new configuration is not taken", why=str(bad))
+    except Faulty as error:
+        instance.log.error("new configuration rejected", why=str(error))
     except MemoryError:
-        instance.log.error("the new configuration is not taken", why="no memory to read it")
+        instance.log.error("new configuration rejected", why="not enough memory to read it")
 
 
 @app.command("check-config")
 def check_config(config: ConfigPath = "", plan: PlanPath = "", plan_key: KeyPath = "") -> None:
-    """Read and check a configuration as a start and SIGHUP do, and say whether it can be used."""
+    """Check a configuration as at a start or SIGHUP and report whether it can be used."""
     from .service.config import check_files, load
 
     try:
-        found = load(config, plan, plan_key)
-        check_files(found)
-        typer.echo(f"{found.name}: good")
-    except Faulty as bad:
-        _fail(str(bad))
+        loaded = load(config, plan, plan_key)
+        check_files(loaded)
+        typer.echo(f"{loaded.name}: good")
+    except Faulty as error:
+        _fail(str(error))
 
 
 @app.command("version")
@@ -132,7 +136,7 @@
 
 
 def _add_commands() -> None:
-    """Commands that import more than serving needs load it when they are run."""
+    """Adds the other commands. What they need beyond serving is imported only when they run."""
     from .commands import config, demo, fleet, lab
 
     app.add_typer(config.app, name="config")
@@ -145,5 +149,6 @@
 
 
 def _fail(message: str) -> None:
+    """Prints the message and exits with code 2."""
     typer.echo(f"hollystage: {message}", err=True)
     raise typer.Exit(2)
