--- a/hollystage/language/__init__.py
+++ b/hollystage/language/__init__.py
@@ -1,4 +1,4 @@
-"""The settings script: its grammar, its units, its evaluator, its formatter.
+"""The language of settings scripts: grammar, units, evaluator and formatter.
 
-Nothing here knows what can be configured: that is hollystage.plan, which hands its sections in.
+This package does not know what can be configured: hollystage.plan passes in the sections.
 """
--- a/hollystage/language/builtins.py
+++ b/hollystage/language/builtins.py
@@ -1,4 +1,4 @@
-"""The functions that every script knows. None has an effect, none depends on anything but its arguments."""
+"""Builtin functions and methods of scripts. They have no side effects and depend only on their arguments."""
 from __future__ import annotations
 
 from collections.abc import Callable
@@ -9,32 +9,36 @@
 from .units import amount_of, arithmetic, describe, dimension_of, written
 
 RANGE = 200_000  # elements of one range()
-REPLACED = 1 << 20  # characters that replace(), join() and format() may make
+REPLACED = 1 << 20  # characters in the result of str(), replace(), join() and format()
 
 
 class Misused(ValueError):
-    """A function was given what it cannot take; `fix` says what it takes."""
+    """A builtin does not accept one of its arguments.
 
-    def __init__(self, what: str, fix: str) -> None:
-        super().__init__(what)
+    Attributes:
+        fix: what the script can write instead.
+    """
+
+    def __init__(self, message: str, fix: str) -> None:
+        super().__init__(message)
         self.fix = fix
 
 
 def _whole(value: Any) -> int:
     if type(value) is not int:
-        raise Misused(f"{describe(value)} is no whole number", "use a whole number")
+        raise Misused(f"{describe(value)} is not a whole number", "use a whole number")
     return value
 
 
 def _text(value: Any) -> str:
     if not isinstance(value, str):
-        raise Misused(f"{describe(value)} is no string", "write str() round it")
+        raise Misused(f"{describe(value)} is not a string", "convert it with str()")
     return value
 
 
 def _sequence(value: Any) -> list[Any]:
     if not isinstance(value, list | tuple | dict):
-        raise Misused(f"{describe(value)} is no list", "use a list")
+        raise Misused(f"{describe(value)} is not a list", "use a list")
     return list(value)
 
 
@@ -44,7 +48,7 @@
         raise Misused("a step of 0", "use 1 or more, or -1 or less")
     span = range(start, stop, step)
     if start != stop and abs(stop - start) // abs(step) > RANGE:
-        raise Misused(f"more than {RANGE} elements", "go over less")
+        raise Misused(f"more than {RANGE} elements", "use a shorter range")
     return list(span)
 
 
@@ -55,7 +59,8 @@
 
 
 def _str(value: Any) -> str:
-    """
+    """Converts any value to a string; strings are returned unchanged.
+
     >>> from .units import literal
     >>> _str(literal("2100ms")), _str([1, "a", None]), _str({"a": True})
     ('2.1s', '[1, "a", None]', '{"a": True}')
@@ -65,14 +70,14 @@
 
 def _shown(value: Any, depth: int) -> str:
     if depth > 4:
-        raise Misused("a value nested deeper than 4", "take it apart first")
+        raise Misused("a value nested deeper than 4 levels", "convert its parts one by one")
     if isinstance(value, str):
         return '"' + value.replace("\\", "\\\\").replace('"', '\\"') + '"'
     if dimension_of(value) is not None:
         return written(value)
     if isinstance(value, list | tuple):
         if len(value) > 1000:
-            raise Misused("a list of more than 1000 elements", "take its parts")
+            raise Misused("a list with more than 1000 elements", "convert a part of it")
         body = _bounded(", ".join(_shown(item, depth + 1) for item in value))
         return f"[{body}]" if isinstance(value, list) else f"({body})"
     if isinstance(value, dict):
@@ -83,7 +88,7 @@
 
 def _bounded(text: str) -> str:
     if len(text) > REPLACED:
-        raise Misused(f"a string of more than {REPLACED} characters", "make it shorter")
+        raise Misused(f"a string with more than {REPLACED} characters", "make it shorter")
     return text
 
 
@@ -93,29 +98,29 @@
         return int(value)
     if isinstance(value, int | Fraction):
         return int(value)
-    raise Misused(f"{describe(value)} is no number", "use a number or a string of digits")
+    raise Misused(f"{describe(value)} is not a number", "use a number or a string of digits")
 
 
-def _compare(one: Any, other: Any) -> int:
-    if isinstance(one, str) and isinstance(other, str):
-        return (one > other) - (one < other)
-    difference = amount_of(arithmetic("-", one, other))
+def _compare(left: Any, right: Any) -> int:
+    if isinstance(left, str) and isinstance(right, str):
+        return (left > right) - (left < right)
+    difference = amount_of(arithmetic("-", left, right))
     return (difference > 0) - (difference < 0)
 
 
-def _of_several(given: tuple[Any, ...]) -> list[Any]:
-    values = _sequence(given[0]) if len(given) == 1 else list(given)
+def _of_several(arguments: tuple[Any, ...]) -> list[Any]:
+    values = _sequence(arguments[0]) if len(arguments) == 1 else list(arguments)
     if not values:
-        raise Misused("of nothing", "give at least one value")
+        raise Misused("no values", "pass at least one value")
     return values
 
 
-def _min(*given: Any) -> Any:
-    return min(_of_several(given), key=cmp_to_key(_compare))
+def _min(*values: Any) -> Any:
+    return min(_of_several(values), key=cmp_to_key(_compare))
 
 
-def _max(*given: Any) -> Any:
-    return max(_of_several(given), key=cmp_to_key(_compare))
+def _max(*values: Any) -> Any:
+    return max(_of_several(values), key=cmp_to_key(_compare))
 
 
 def _sorted(values: Any) -> list[Any]:
@@ -123,15 +128,15 @@
 
 
 def _fail(message: Any) -> None:
-    raise Misused(_str(message)[:200], "change what the script asks for")
+    raise Misused(_str(message)[:200], "change the values that the script checks")
 
 
 def _enumerate(values: Any) -> list[Any]:
     return list(enumerate(_sequence(values)))
 
 
-def _zip(*given: Any) -> list[Any]:
-    return list(zip(*(_sequence(values) for values in given), strict=False))
+def _zip(*sequences: Any) -> list[Any]:
+    return list(zip(*(_sequence(sequence) for sequence in sequences), strict=False))
 
 
 def _reversed(values: Any) -> list[Any]:
@@ -140,13 +145,13 @@
 
 def _abs(value: Any) -> Any:
     if dimension_of(value) is None:
-        raise Misused(f"{describe(value)} is no amount", "use an amount")
+        raise Misused(f"{describe(value)} is not a number or quantity", "use a number or quantity")
     return value if amount_of(value) >= 0 else arithmetic("*", value, -1)
 
 
 def _round(value: Any) -> int:
     if not isinstance(value, int | Fraction):
-        raise Misused(f"{describe(value)} is no number", "divide it by its unit first, like 1s / 1ms")
+        raise Misused(f"{describe(value)} is not a number", "divide it by its unit first, like 1s / 1ms")
     return round(value)
 
 
@@ -157,13 +162,15 @@
 
 
 def _format(text: str, *given: Any) -> str:
-    """
+    """Replaces each `{}` in `text` by one value.
+
     >>> _format("{}-{}", "a", 2)
     'a-2'
     """
     parts = text.split("{}")
     if len(parts) - 1 != len(given):
-        raise Misused(f"{len(parts) - 1} places {{}} for {len(given)} values", "give each place a value")
+        raise Misused(f"{len(parts) - 1} placeholders {{}} for {len(given)} values",
+                      "pass one value for each placeholder")
     texts = [_str(value) for value in given]
     return _bounded("".join(part + value for part, value in zip(parts, [*texts, ""], strict=True)))
 
@@ -171,21 +178,21 @@
 def _join(text: str, values: Any) -> str:
     parts = [_text(value) for value in _sequence(values)]
     if sum(map(len, parts)) + len(text) * len(parts) > REPLACED:
-        raise Misused(f"a string of more than {REPLACED} characters", "make it shorter")
+        raise Misused(f"a string with more than {REPLACED} characters", "make it shorter")
     return text.join(parts)
 
 
-def _split(text: str, mark: Any) -> list[str]:
-    if not _text(mark):
-        raise Misused("nothing to split at", "give a string of one character or more")
-    return text.split(mark)
+def _split(text: str, separator: Any) -> list[str]:
+    if not _text(separator):
+        raise Misused("an empty separator", "use a string of one character or more")
+    return text.split(separator)
 
 
 def _replace(text: str, old: Any, new: Any) -> str:
     if not _text(old):
-        raise Misused("nothing to replace", "give a string of one character or more")
+        raise Misused("an empty string to replace", "use a string of one character or more")
     if len(text) + text.count(old) * len(_text(new)) > REPLACED:
-        raise Misused(f"a string of more than {REPLACED} characters", "make it shorter")
+        raise Misused(f"a string with more than {REPLACED} characters", "make it shorter")
     return text.replace(old, new)
 
 
@@ -195,6 +202,7 @@
           "endswith": lambda text, part: text.endswith(_text(part)),
           "upper": lambda text: text.upper(), "lower": lambda text: text.lower(),
           "strip": lambda text: text.strip()},
-    dict: {"keys": lambda of: list(of), "values": lambda of: list(of.values()),
-           "items": lambda of: list(of.items()),
-           "get": lambda of, key, default=None: of.get(key, default) if isinstance(key, str | int) else default}}
+    dict: {"keys": lambda mapping: list(mapping), "values": lambda mapping: list(mapping.values()),
+           "items": lambda mapping: list(mapping.items()),
+           "get": lambda mapping, key, default=None: mapping.get(key, default) if isinstance(key, str | int)
+           else default}}
--- a/hollystage/language/values.py
+++ b/hollystage/language/values.py
@@ -1,4 +1,4 @@
-"""The values of a script that are more than numbers, texts, lists and dicts."""
+"""Values of a script other than numbers, quantities, strings, lists, tuples and dicts."""
 from __future__ import annotations
 
 from collections.abc import Callable, Mapping
@@ -10,7 +10,10 @@
 
 
 class Unknown:
-    """What stands where a fault was told already: all that is done with it is unknown too, and told no more."""
+    """The value of an expression with an error that was already reported.
+
+    Every operation on it gives UNKNOWN again and reports nothing.
+    """
 
     described = "nothing"
 
@@ -20,7 +23,7 @@
 
 @dataclass(slots=True, eq=False)
 class Function:
-    """A def, with the names of its file."""
+    """A function that a script defines; `module` is the file that defines it."""
 
     name: str
     node: tree.Define
@@ -30,6 +33,8 @@
 
 @dataclass(slots=True, eq=False)
 class Builtin:
+    """A builtin function, or a method bound to its value."""
+
     name: str
     call: Callable[..., Any]
     described: str = "a function"
@@ -37,7 +42,7 @@
 
 @dataclass(slots=True, eq=False)
 class Record:
-    """One entry of a section: what `method(...)` gives, to be named in other entries."""
+    """One entry, the result of a call like `method(...)`; other entries can refer to it."""
 
     section: str
     name: str
@@ -45,20 +50,23 @@
 
     @property
     def described(self) -> str:
+        """The entry as messages name it."""
         return f'the {self.section} "{self.name}"' if self.name else f"a {self.section}"
 
 
 @dataclass(slots=True)
 class Given:
-    """One argument as it was written."""
+    """The value of one argument and where it is written."""
 
     value: Any
     where: Where
 
 
 class Section(Protocol):
-    """What a word like `method` does; `positional` are the names that its first arguments have."""
+    """The function behind a section name like `method`; `positional` are the names of its positional arguments."""
 
     positional: tuple[str, ...]
 
-    def enter(self, where: Where, given: dict[str, Given]) -> Record: ...
+    def enter(self, location: Where, arguments: dict[str, Given]) -> Record:
+        """Adds one entry with these arguments; `location` is that of the call."""
+        ...
