--- a/hollystage/language/layout.py
+++ b/hollystage/language/layout.py
@@ -1,8 +1,7 @@
-"""From characters to the tokens of one statement of the top level after the other.
+"""Splits a script into top-level statements, each a list of tokens for the parser.
 
-Newlines inside brackets are dropped, those of blank lines too; _INDENT and _DEDENT are added. What no statement
-can hold (strange characters, open strings, brackets that do not match, steps of indentation) is told here, once,
-and the next statement is read all the same.
+Newlines inside brackets and of blank lines are dropped; _INDENT and _DEDENT are added. Errors in characters, strings,
+brackets and indentation are reported here, once, and reading continues with the next statement.
 """
 from __future__ import annotations
 
@@ -12,7 +11,7 @@
 from .tokens import Token, tokens
 from .units import meant
 
-BRACKETS, BLOCKS = 50, 12  # of one within the other: guards the walk of the tree
+BRACKETS, BLOCKS = 50, 12  # nested brackets and blocks; bounds the recursion over the syntax tree
 OPENING = {"LPAR": "RPAR", "LSQB": "RSQB", "LBRACE": "RBRACE"}
 CLOSING = {"RPAR": "(", "RSQB": "[", "RBRACE": "{"}
 STARTS = {"NAME", "DEF", "FOR", "IF", "PASS", "RETURN"}
@@ -20,114 +19,127 @@
 
 
 class Statement(NamedTuple):
-    """Of the top level; `tokens` are those that the grammar knows, closed by a newline."""
+    """A top-level statement.
+
+    `tokens` are terminals of the grammar and end with a newline. `is_valid` is False if errors were found, so that
+    the statement must not be parsed.
+    """
 
     tokens: Tokens
     good: bool
 
 
 class Scan(NamedTuple):
+    """The result of scan()."""
+
     statements: list[Statement]
-    tokens: Tokens  # with comments: what the formatter goes by
+    tokens: Tokens  # all tokens including comments, for the formatter
 
 
-def scan(text: str, file: str, faults: Faults) -> Scan:
-    """Every fault of the characters and of the layout is added to `faults`."""
-    found = tokens(text)
-    code = [token for token in found if token.type != "COMMENT"]
-    return Scan(_Layout(file, faults, code).statements(), found)
+def scan(text: str, file: str, diagnostics: Faults) -> Scan:
+    """Splits a text into tokens and statements. Lexical and layout errors are added to `diagnostics`."""
+    all_tokens = tokens(text)
+    code = [token for token in all_tokens if token.type != "COMMENT"]
+    return Scan(_Layout(file, diagnostics, code).statements(), all_tokens)
 
 
 class _Layout:
-    def __init__(self, file: str, faults: Faults, tokens: Tokens) -> None:
-        self.file, self.faults, self.tokens = file, faults, tokens
-        self.found: list[tuple[Token, str, str]] = []  # in the statement that is read
+    """Reads the statements of one file, line by line, and checks brackets and indentation."""
 
-    def fault(self, token: Token, what: str, fix: str) -> None:
-        self.found.append((token, what, fix))
+    def __init__(self, file: str, diagnostics: Faults, tokens: Tokens) -> None:
+        self.file, self.faults, self.tokens = file, diagnostics, tokens
+        self.found: list[tuple[Token, str, str]] = []  # token, message, fix; of the current statement
+
+    def fault(self, token: Token, message: str, fix: str) -> None:
+        self.found.append((token, message, fix))
 
     def _tell(self) -> None:
-        """Of a statement with a string that does not end nothing else is told: it swallowed the rest."""
+        """Reports the errors of the current statement.
+
+        If a string is not terminated, only that is reported: the string contains the rest of its line, so further
+        errors may be consequences.
+        """
         open_strings = [row for row in self.found if row[0].type in ("OPEN_STRING", "LONG_STRING")]
-        for token, what, fix in open_strings[:1] or self.found:
-            self.faults.add(Where(self.file, token.line, token.column), what, fix)
+        for token, message, fix in open_strings[:1] or self.found:
+            self.faults.add(Where(self.file, token.line, token.column), message, fix)
         self.found = []
 
     def statements(self) -> list[Statement]:
-        found: list[Statement] = []
+        """Reads all statements of the file and reports their errors."""
+        statements: list[Statement] = []
         at, end = 0, len(self.tokens)
         while at < end:
             if self.tokens[at].type == "NEWLINE":
                 at += 1
                 continue
-            at = self._statement(at, found)
+            at = self._statement(at, statements)
             self._tell()
-        return found
+        return statements
 
-    def _statement(self, at: int, found: list[Statement]) -> int:
-        """Reads one statement from the token `at`; returns where the next one starts."""
+    def _statement(self, at: int, statements: list[Statement]) -> int:
+        """Reads one statement from the token `at` on; returns the index of the next statement."""
         out: Tokens = []
-        good, levels = True, [0]
+        is_valid, levels = True, [0]
         first = self.tokens[at]
         if first.column > 1:
-            self.fault(first, "an indented line that belongs to no block", "start it in column 1")
-            good = False
+            self.fault(first, "unexpected indentation of a top-level statement", "start it in column 1")
+            is_valid = False
         while at < len(self.tokens):
-            at, line_good = self._line(at, out)
-            good &= line_good
-            # the line is whole; the next one decides whether the statement goes on
+            at, line_is_valid = self._line(at, out)
+            is_valid &= line_is_valid
+            # the logical line is complete; the next one decides whether the statement continues
             while at < len(self.tokens) and self.tokens[at].type == "NEWLINE":
                 at += 1
             self._newline(out)
             opens = len(out) > 1 and out[-2].type == "COLON"
             if at >= len(self.tokens):
                 if opens:
-                    self.fault(out[-2], "a block with nothing in it", "indent its lines by four spaces")
-                    good = False
+                    self.fault(out[-2], "an empty block", "indent its lines by four spaces")
+                    is_valid = False
                 break
             following = self.tokens[at]
             column = following.column - 1
             if column == 0 and following.type not in ("ELIF", "ELSE"):
                 if opens:
-                    self.fault(out[-2], "a block with nothing in it", "indent its lines by four spaces")
-                    good = False
+                    self.fault(out[-2], "an empty block", "indent its lines by four spaces")
+                    is_valid = False
                 break
             if opens:
                 if column <= levels[-1]:
-                    self.fault(following, "a block with nothing in it", "indent its lines by four spaces")
-                    good = False
+                    self.fault(following, "an empty block", "indent its lines by four spaces")
+                    is_valid = False
                 elif len(levels) > BLOCKS:
-                    if good:
+                    if is_valid:
                         self.fault(following, f"blocks nested deeper than {BLOCKS}",
-                                   "take the inner ones into a def")
-                    good = False
+                                   "move the inner blocks into a def")
+                    is_valid = False
                 else:
                     levels.append(column)
                     out.append(Token("_INDENT", "", following.line, following.column))
             elif column > levels[-1]:
-                if good and self._header(out):
-                    self.fault(out[-1], "a line that starts a block without ':'", "put ':' at its end")
-                elif good:
-                    self.fault(following, "more indented than the lines of its block",
+                if is_valid and self._header(out):
+                    self.fault(out[-1], "missing ':' at the end of a line that starts a block", "add ':'")
+                elif is_valid:
+                    self.fault(following, "indented more than the other lines of its block",
                                f"start it in column {levels[-1] + 1}")
-                good = False
+                is_valid = False
             while column < levels[-1]:
                 levels.pop()
                 out.append(Token("_DEDENT", "", following.line, following.column))
                 if column > levels[-1]:
-                    self.fault(following, "indented like no block around it",
+                    self.fault(following, "indentation that matches no enclosing block",
                                f"start it in column {levels[-1] + 1}")
-                    good = False
+                    is_valid = False
                     break
         self._newline(out)
         if out:
             out += [Token("_DEDENT", "", out[-1].line, out[-1].column)] * (len(levels) - 1)
-            found.append(Statement(out, good))
+            statements.append(Statement(out, is_valid))
         return at
 
     @staticmethod
     def _header(out: Tokens) -> bool:
-        """Whether the last line starts like one that opens a block."""
+        """Whether the last line starts with a keyword that opens a block."""
         start = len(out) - 1
         while start > 0 and out[start - 1].type not in ("_NEWLINE", "_INDENT", "_DEDENT"):
             start -= 1
@@ -139,16 +151,16 @@
             out.append(Token("_NEWLINE", "\n", out[-1].line, out[-1].column + len(out[-1].text)))
 
     def _line(self, at: int, out: Tokens) -> tuple[int, bool]:
-        """One logical line: up to the newline outside all brackets."""
+        """Reads a logical line, up to the newline outside all brackets; returns its end and whether it is valid."""
         opened: Tokens = []
-        good, start, deep = True, len(out), False
+        is_valid, start, too_deep = True, len(out), False
         while at < len(self.tokens):
             token = self.tokens[at]
             if token.type == "NEWLINE":
                 if not opened:
-                    return at, good
+                    return at, is_valid
                 at += 1
-                # a bracket that is still open where a new statement starts is most likely one forgotten
+                # if a new statement starts while a bracket is open, the closing bracket was probably forgotten
                 if at < len(self.tokens) and self._starts_anew(at) and not self._closes_later(at, len(opened)):
                     self.fault(opened[-1], f"'{opened[-1]}' is never closed", f"add '{self._mate(opened[-1])}'")
                     return at, False
@@ -157,30 +169,31 @@
             if token.type in OPENING:
                 opened.append(token)
                 if len(opened) > BRACKETS:
-                    if not deep:
-                        self.fault(token, f"brackets nested deeper than {BRACKETS}", "name the inner parts")
-                    deep, good = True, False
+                    if not too_deep:
+                        self.fault(token, f"brackets nested deeper than {BRACKETS}",
+                                   "assign the inner parts to names")
+                    too_deep, is_valid = True, False
             elif token.type in CLOSING:
                 if not opened:
-                    self.fault(token, f"'{token}' closes nothing", "remove it")
-                    good = False
+                    self.fault(token, f"'{token}' without an opening bracket", "remove it")
+                    is_valid = False
                     continue
                 if OPENING[opened[-1].type] != token.type:
-                    self.fault(token, f"'{token}' closes the '{opened[-1]}' of line {opened[-1].line}",
+                    self.fault(token, f"'{token}' does not match '{opened[-1]}' in line {opened[-1].line}",
                                f"write '{self._mate(opened[-1])}'")
-                    good = False
+                    is_valid = False
                 opened.pop()
             elif not self._known(token):
-                good = False
+                is_valid = False
                 continue
-            if not deep:
+            if not too_deep:
                 out.append(token)
         if opened:
             self.fault(opened[-1], f"'{opened[-1]}' is never closed", f"add '{self._mate(opened[-1])}'")
-            good = False
+            is_valid = False
         if len(out) == start:
-            good = False
-        return at, good
+            is_valid = False
+        return at, is_valid
 
     @staticmethod
     def _mate(token: Token) -> str:
@@ -195,7 +208,7 @@
         return at + 1 < len(self.tokens) and self.tokens[at + 1].type in ("LPAR", "EQUAL")
 
     def _closes_later(self, at: int, depth: int) -> bool:
-        """Whether what is open would be closed before the next line that starts a statement."""
+        """Whether `depth` open brackets are closed before the next line that starts a statement."""
         first = at
         while at < len(self.tokens):
             token = self.tokens[at]
@@ -212,7 +225,7 @@
         return False
 
     def _known(self, token: Token) -> bool:
-        """Tells of what no statement can hold."""
+        """Whether a statement may contain the token; reports an error if not."""
         text = token.text
         match token.type:
             case "STRANGE":
@@ -223,9 +236,9 @@
             case "OPEN_STRING":
                 self.fault(token, "a string that is not closed on its line", f"close it with {text[0]}")
             case "LONG_STRING":
-                self.fault(token, "a string over several lines", "join short strings with +")
+                self.fault(token, "a string over several lines", "join one-line strings with +")
             case "SEMICOLON":
-                self.fault(token, "';' between statements", "write each on a line of its own")
+                self.fault(token, "';' between statements", "write each statement on its own line")
             case "BACKSLASH":
                 self.fault(token, "'\\' at the end of a line", "put the expression in brackets")
             case "RESERVED":
@@ -237,17 +250,18 @@
         return False
 
     def _bad_number(self, token: Token, text: str) -> None:
-        probably = meant(text)
-        if probably is not None:
-            self.fault(token, f"'{text}' has a unit that the language does not know", f"write {probably}")
+        suggestion = meant(text)
+        if suggestion is not None:
+            self.fault(token, f"'{text}' has a unit that the language does not know", f"write {suggestion}")
         elif text.lstrip("0123456789.") and not text.startswith("0x"):
             self.fault(token, f"'{text}' has a unit that the language does not know",
                        "use us, ms, s, min, h, B, KiB, MiB, GiB, /s, /min, /h or %")
         else:
-            self.fault(token, f"'{text}' is not a number", "write digits, with at most one point")
+            self.fault(token, f"'{text}' is not a number", "write decimal digits with at most one point")
 
 
 def _instead(word: str) -> str:
+    """The fix for a Python keyword that scripts do not support."""
     return {"while": "use for over a list or range()", "import": 'use load("file.star", "NAME")',
             "from": 'use load("file.star", "NAME")', "lambda": "use def", "is": "use =="}.get(
-                word, "leave it out")
+                word, "remove it")
--- a/hollystage/language/syntax.py
+++ b/hollystage/language/syntax.py
@@ -1,4 +1,4 @@
-"""Parses a script into its tree; statement by statement, so that one run tells of every fault."""
+"""Parses a script into a syntax tree, statement by statement, so that one run reports all syntax errors."""
 from __future__ import annotations
 
 from collections.abc import Callable
@@ -15,8 +15,8 @@
 from .units import UNITS, Mismatch, literal, number
 
 COMPARING = {"EQ", "NE", "LE", "GE", "LT", "GT", "IN"}
-SHAPES, LONG = 500, 400  # shapes of statements that are remembered, of so many tokens at the most
-WORDS, FRESH = 20_000, 100_000  # tokens of one statement; parsed in one run, the known shapes aside
+SHAPES, LONG = 500, 400  # statement shapes in the cache; tokens of a cached shape
+WORDS, FRESH = 20_000, 100_000  # tokens of one statement; tokens parsed in one run, without cached shapes
 
 ESCAPES = {"n": "\n", "t": "\t", "\\": "\\", '"': '"', "'": "'"}
 EXPECTED = {"RPAR": "')'", "RSQB": "']'", "RBRACE": "'}'", "COMMA": "','", "COLON": "':'", "EQUAL": "'='",
@@ -25,9 +25,11 @@
 
 
 class _Faulty(Exception):
-    def __init__(self, at: At, what: str, fix: str) -> None:
-        super().__init__(what)
-        self.at, self.what, self.fix = at, what, fix
+    """A syntax error at a position of the current file."""
+
+    def __init__(self, position: At, message: str, fix: str) -> None:
+        super().__init__(message)
+        self.at, self.what, self.fix = position, message, fix
 
 
 def _at(token: Token) -> At:
@@ -35,7 +37,7 @@
 
 
 def unquote(token: Token) -> str:
-    """The text of a string literal."""
+    """The value of a string literal."""
     text = token.text[1:-1]
     if "\\" not in text:
         return text
@@ -44,14 +46,14 @@
         if char == "\\":
             char = next(chars)
             if char not in ESCAPES:
-                raise _Faulty(_at(token), f"'\\{char}' is no escape", r"write \\ for a backslash")
+                raise _Faulty(_at(token), f"'\\{char}' is not an escape sequence", r"write \\ for a backslash")
             char = ESCAPES[char]
         parts.append(char)
     return "".join(parts)
 
 
 class _Builder:
-    """Makes nodes: one method for each rule of the grammar that has a node, given its children."""
+    """Builds tree nodes. Each method has the name of a grammar rule or alias and takes the children of its match."""
 
     def start(self, parts: list[Any]) -> Any:
         return parts[0]
@@ -74,8 +76,8 @@
     def _amount(read: Any, token: Token) -> Any:
         try:
             return read(str(token))
-        except Mismatch as bad:
-            raise _Faulty(_at(token), str(bad), bad.fix) from bad
+        except Mismatch as error:
+            raise _Faulty(_at(token), str(error), error.fix) from error
 
     def constant(self, parts: list[Any]) -> Node:
         return tree.Literal(_at(parts[0]), {"True": True, "False": False, "None": None}[str(parts[0])])
@@ -136,7 +138,7 @@
         return tree.Compare(parts[1][1], parts[1][0], parts[0], parts[2])
 
     def chain(self, parts: list[Any]) -> Node:
-        rest = [(str(sign), _at(sign), part) for sign, part in zip(parts[1::2], parts[2::2], strict=True)]
+        rest = [(str(operator), _at(operator), part) for operator, part in zip(parts[1::2], parts[2::2], strict=True)]
         return tree.Chain(parts[0].at, parts[0], rest)
 
     def signed(self, parts: list[Any]) -> Node:
@@ -144,18 +146,19 @@
         return tree.Signed(_at(parts[0]), minus, parts[-1])
 
     def call(self, parts: list[Any]) -> Any:
-        return lambda of: tree.Call(of.at, of, parts[1] or [])
+        return lambda node: tree.Call(node.at, node, parts[1] or [])
 
     def index(self, parts: list[Any]) -> Any:
-        return lambda of: tree.Index(of.at, of, parts[1])
+        return lambda node: tree.Index(node.at, node, parts[1])
 
     def attribute(self, parts: list[Any]) -> Any:
-        return lambda of: tree.Attribute(_at(parts[0]), of, str(parts[0]))
+        return lambda node: tree.Attribute(_at(parts[0]), node, str(parts[0]))
 
     def postfix(self, parts: list[Any]) -> Any:
         node = parts[0]
         if len(parts) > 20:
-            raise _Faulty(node.at, "more than 20 calls and look-ups in a row", "name what comes between")
+            raise _Faulty(node.at, "more than 20 calls, indexes and attributes in a row",
+                          "assign the intermediate values to names")
         for wrap in parts[1:]:
             node = wrap(node)
         return node
@@ -176,7 +179,7 @@
         names: list[tree.Name] = []
         for target in left.items if isinstance(left, tree.ListOf) and left.is_tuple else [left]:
             if not isinstance(target, tree.Name):
-                raise _Faulty(target.at, "only a name can be given a value", "write NAME = value")
+                raise _Faulty(target.at, "only names can be assigned to", "write NAME = value")
             names.append(target)
         return tree.Assign(left.at, names, value, isinstance(left, tree.ListOf))
 
@@ -192,17 +195,17 @@
 
     @staticmethod
     def _load(node: tree.Call) -> Node:
-        texts = [argument.value for argument in node.arguments]
-        for text in texts:
-            if not isinstance(text, tree.Literal) or not isinstance(text.value, str):
-                raise _Faulty(text.at, "load() takes strings only", 'write load("file.star", "NAME")')
-        if len(texts) < 2 or node.arguments[0].name:
+        strings = [argument.value for argument in node.arguments]
+        for string in strings:
+            if not isinstance(string, tree.Literal) or not isinstance(string.value, str):
+                raise _Faulty(string.at, "load() accepts only string literals", 'write load("file.star", "NAME")')
+        if len(strings) < 2 or node.arguments[0].name:
             raise _Faulty(node.at, "load() needs a file and at least one name", 'write load("file.star", "NAME")')
         names = []
         for argument in node.arguments[1:]:
-            there = argument.value.value  # type: ignore[attr-defined]
-            names.append((tree.Name(argument.at, argument.name or there), there, argument.value.at))
-        return tree.Load(node.at, texts[0].value, texts[0].at, names)  # type: ignore[attr-defined]
+            source_name = argument.value.value  # type: ignore[attr-defined]
+            names.append((tree.Name(argument.at, argument.name or source_name), source_name, argument.value.at))
+        return tree.Load(node.at, strings[0].value, strings[0].at, names)  # type: ignore[attr-defined]
 
     def return_(self, parts: list[Any]) -> Node:
         return tree.Return(_at(parts[0]), parts[1])
@@ -236,53 +239,53 @@
         return tree.Branch(branches[0][0].at, branches, otherwise)
 
 
-Shape = tuple[Callable[[list[Any]], Any], list[Any]] | int | None  # a rule and its children, or a token's number
+Shape = tuple[Callable[[list[Any]], Any], list[Any]] | int | None  # builder method and children, or index of a token
 
 
 class Parser:
-    """Parses one file after the other; statements of one shape are parsed once.
+    """Parses files one after another, and caches the result by the shape of a statement.
 
-    The shape is the sequence of token types, which is all that the grammar looks at: of ten thousand routes the
-    first is parsed, the others are filled in.
+    The shape is the sequence of token types, on which alone the parse depends. Of ten thousand routes of the same
+    shape only the first is parsed; the others reuse its tree with their own tokens.
     """
 
     def __init__(self) -> None:
         self.builder = _Builder()
         self.shapes: dict[tuple[str, ...], Shape] = {}
         self.fresh = 0
-        self.unread: set[str] = set()  # names in statements that could not be read
+        self.unread: set[str] = set()  # names in statements with errors
 
-    def parse(self, text: str, file: str, faults: Faults) -> tuple[list[Node], Scan]:
-        """The statements that can be read; what cannot is told in `faults`, each statement once."""
-        found = scan(text, file, faults)
+    def parse(self, text: str, file: str, diagnostics: Faults) -> tuple[list[Node], Scan]:
+        """Returns the valid statements and all tokens; adds the errors of each other statement to `diagnostics`."""
+        result = scan(text, file, diagnostics)
         nodes = []
-        for statement in found.statements:
+        for statement in result.statements:
             if statement.good:
                 try:
                     nodes.append(self._statement(statement.tokens))
                     continue
-                except UnexpectedInput as bad:
-                    _explain(bad, statement.tokens, file, faults)
-                except _Faulty as bad:
-                    faults.add(Where(file, *bad.at), bad.what, bad.fix)
+                except UnexpectedInput as error:
+                    _explain(error, statement.tokens, file, diagnostics)
+                except _Faulty as error:
+                    diagnostics.add(Where(file, *error.at), error.what, error.fix)
             self.unread.update(token.text for token in statement.tokens if token.type == "NAME")
-        return nodes, found
+        return nodes, result
 
     def _statement(self, tokens: list[Token]) -> Node:
         kinds = tuple(token.type for token in tokens)
         shape = self.shapes.get(kinds)
         if shape is None:
             self.fresh += len(tokens)
-            if len(tokens) > WORDS:  # guards whoever waits for the answer: some 25 us a token
-                raise _Faulty(_at(tokens[0]), f"a statement of more than {WORDS} words", "split it")
+            if len(tokens) > WORDS:  # bounds the time for an answer: parsing takes about 25 us per token
+                raise _Faulty(_at(tokens[0]), f"a statement of more than {WORDS} tokens", "split it")
             if self.fresh > FRESH:
-                raise _Faulty(_at(tokens[0]), f"more than {FRESH} words in statements that are all different",
-                              "say more with loops")
+                raise _Faulty(_at(tokens[0]), f"more than {FRESH} tokens in statements of different forms",
+                              "write repeated statements in the same form, or use loops")
             parser = grammar().parse_interactive()
             result: Any = None
             for token in (*tokens, Token("$END", "", tokens[-1].line, tokens[-1].column)):
-                result = parser.feed_token(token)  # type: ignore[arg-type]  # it looks at the type alone
-            shape = self._shape(result, {id(token): at for at, token in enumerate(tokens)})
+                result = parser.feed_token(token)  # type: ignore[arg-type]  # the parser uses only the type
+            shape = self._shape(result, {id(token): index for index, token in enumerate(tokens)})
             if len(self.shapes) < SHAPES and len(kinds) <= LONG:
                 self.shapes[kinds] = shape
         node: Node = _filled(shape, tokens)
@@ -300,39 +303,39 @@
     return tokens[shape] if shape is not None else None
 
 
-def _explain(bad: Any, tokens: list[Token], file: str, faults: Faults) -> None:
-    token = bad.token
-    where = Where(file, token.line, token.column)
+def _explain(error: Any, tokens: list[Token], file: str, diagnostics: Faults) -> None:
+    token = error.token
+    location = Where(file, token.line, token.column)
     before = next((one for one, other in zip(tokens, tokens[1:], strict=False) if other is token), None)
-    expected = set(bad.accepts or bad.expected)
+    expected = set(error.accepts or error.expected)
     if before is not None and before.type == "NUMBER" and token.text in UNITS:
-        faults.add(where, f"a space between {before} and its unit", f"write {before}{token}")
+        diagnostics.add(location, f"a space between {before} and its unit", f"write {before}{token}")
         return
-    at = next((at for at, other in enumerate(tokens) if other is token), 0)
-    if before is not None and before.type == "REMAINDER" and at > 1 and tokens[at - 2].type == "NUMBER":
-        faults.add(Where(file, before.line, before.column), f"a space between {tokens[at - 2]} and its unit",
-                   f"write {tokens[at - 2]}%")
+    index = next((index for index, other in enumerate(tokens) if other is token), 0)
+    if before is not None and before.type == "REMAINDER" and index > 1 and tokens[index - 2].type == "NUMBER":
+        diagnostics.add(Where(file, before.line, before.column), f"a space between {tokens[index - 2]} and its unit",
+                   f"write {tokens[index - 2]}%")
         return
-    got = {"_NEWLINE": "the end of the line", "$END": "the end of the file", "_INDENT": "an indented block",
-           "_DEDENT": "the end of the block"}.get(token.type, f"'{token}'")
+    got = {"_NEWLINE": "end of line", "$END": "end of file", "_INDENT": "indented block",
+           "_DEDENT": "end of block"}.get(token.type, f"'{token}'")
     if token.type == "EQUAL" and before is not None:
-        faults.add(where, "'=' where a value is compared", "write ==")
+        diagnostics.add(location, "'=' in an expression", "write == to compare")
         return
     if token.type in ("ELSE", "ELIF") and before is None:
-        faults.add(where, f"{got} belongs to no if", "indent it like its if")
+        diagnostics.add(location, f"{got} without a matching if", "indent it like its if")
         return
     if token.type in COMPARING and "NUMBER" not in expected:
-        faults.add(where, "a comparison of three", "compare two and two, with and between")
+        diagnostics.add(location, "a chained comparison", "join two comparisons with and")
         return
     if expected <= {"IN", "COMMA"}:
-        faults.add(where, f"{got} is not expected here", "'in' is due")
+        diagnostics.add(location, f"unexpected {got}", "'in' is expected here")
         return
     if "COMMA" in expected and token.type in ("NAME", "STRING", "NUMBER", "QUANTITY", "LSQB", "LBRACE", "TRUE",
                                                "FALSE", "NONE"):
-        faults.add(where, f"{got} follows without a comma", "put a comma before it")
+        diagnostics.add(location, f"no comma before {got}", "add a comma")
         return
     for kind in ("COLON", "_INDENT", "IN", "ELSE", "EQUAL", "COMMA", "RPAR", "RSQB", "RBRACE", "NAME", "_NEWLINE"):
         if kind in expected and not ({"NUMBER", "STRING"} <= expected):
-            faults.add(where, f"{got} is not expected here", f"{EXPECTED[kind]} is due")
+            diagnostics.add(location, f"unexpected {got}", f"{EXPECTED[kind]} is expected here")
             return
-    faults.add(where, f"{got} is not expected here", "a value is due")
+    diagnostics.add(location, f"unexpected {got}", "a value is expected here")
--- a/hollystage/language/tokens.py
+++ b/hollystage/language/tokens.py
@@ -1,7 +1,7 @@
-"""From characters to tokens, by the terminals of the grammar and nothing else.
+"""Splits a text into tokens, according to the terminals of the grammar.
 
-One regular expression is made of them all. The parser library's own scanner makes an object with eight fields a
-token, spaces among them, and took two thirds of a check's time on 10,000 routes.
+All terminals are combined into one regular expression. The scanner of the parser library creates an object with eight
+fields for each token, including spaces; it took two thirds of the time to check a plan with 10,000 routes.
 """
 from __future__ import annotations
 
@@ -19,6 +19,8 @@
 
 
 class Token(NamedTuple):
+    """A token; `type` is the name of its terminal. Lines and columns count from 1."""
+
     type: str
     text: str
     line: int
@@ -29,7 +31,7 @@
 
 
 class _Keep(PostLex):
-    """Keeps the terminals that no rule uses: the layout goes by them."""
+    """Keeps Lark from dropping the terminals that no rule uses; layout.py needs them."""
 
     always_accept = KEPT
 
@@ -39,13 +41,14 @@
 
 @cache
 def grammar() -> Lark:
+    """The LALR parser of grammar.lark."""
     text = files(__package__).joinpath("grammar.lark").read_text("utf-8")
     return Lark(text, parser="lalr", lexer="basic", maybe_placeholders=True, postlex=_Keep())
 
 
 @cache
 def _scanner() -> tuple[re.Pattern[str], dict[str, str]]:
-    """One expression for what has a form, and the words and signs that are what they say."""
+    """A regular expression that matches any token, and the terminals of keywords and operators by their text."""
     words: dict[str, str] = {}
     signs: list[str] = []
     forms: list[tuple[int, str]] = []
@@ -62,14 +65,14 @@
 
 
 def tokens(text: str) -> list[Token]:
-    """All tokens but spaces; whatever the text is, it is cut into tokens without a rest but spaces.
+    """Splits any text into tokens; only spaces and tabs between tokens are dropped.
 
     >>> [(token.type, token.text) for token in tokens("a = 830ms # x")]
     [('NAME', 'a'), ('EQUAL', '='), ('QUANTITY', '830ms'), ('COMMENT', '# x')]
     """
     found: list[Token] = []
     add, (pattern, words) = found.append, _scanner()
-    line, before = 1, -1  # the column of a character is its index less that of the character before the line
+    line, before = 1, -1  # `before`: index of the character before the current line; column = index - before
     for match in pattern.finditer(text):
         kind = match.lastgroup or ""
         word = match[kind]
--- a/hollystage/language/tree.py
+++ b/hollystage/language/tree.py
@@ -1,4 +1,4 @@
-"""The syntax tree of a script; each node knows the place (`at`) that a message about it points to."""
+"""The syntax tree of a script; `position` of a node is where messages about it point to."""
 from __future__ import annotations
 
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 
 class At(NamedTuple):
-    """A place within one file; lines and columns count from 1."""
+    """A position in a file; lines and columns count from 1."""
 
     line: int
     column: int
@@ -14,22 +14,28 @@
 
 @dataclass(slots=True)
 class Node:
+    """Base of all nodes."""
+
     at: At
 
 
 @dataclass(slots=True)
 class Name(Node):
+    """A name that is read, or the target of an assignment."""
+
     name: str
 
 
 @dataclass(slots=True)
 class Literal(Node):
+    """A string, number, quantity, True, False or None."""
+
     value: Any
 
 
 @dataclass(slots=True)
 class ListOf(Node):
-    """A list, or a tuple, written out."""
+    """A list or tuple display: `[a, b]` or `(a, b)`."""
 
     items: list[Node]
     is_tuple: bool = False
@@ -37,23 +43,29 @@
 
 @dataclass(slots=True)
 class DictOf(Node):
+    """A dict display: `{a: b, c: d}`."""
+
     pairs: list[tuple[Node, Node]]
 
 
 @dataclass(slots=True)
 class Each(Node):
+    """A clause `for a, b in items` of a comprehension."""
+
     targets: list[Name]
     items: Node
 
 
 @dataclass(slots=True)
 class Only(Node):
+    """A clause `if test` of a comprehension."""
+
     test: Node
 
 
 @dataclass(slots=True)
 class Comprehension(Node):
-    """A list (no `key`) or a dict of what its clauses yield."""
+    """A list comprehension, or a dict comprehension if there is a `key`."""
 
     key: Node | None
     value: Node
@@ -62,7 +74,7 @@
 
 @dataclass(slots=True)
 class Choice(Node):
-    """`a if b else c if d else e`: [(b, a), (d, c)] and e."""
+    """`a if b else c if d else e`: `branches` is [(b, a), (d, c)], `otherwise` is e."""
 
     branches: list[tuple[Node, Node]]
     otherwise: Node
@@ -70,7 +82,7 @@
 
 @dataclass(slots=True)
 class Logic(Node):
-    """`and` (all) or `or` (any) of two or more."""
+    """Two or more operands joined by `or` (`is_any`) or by `and`."""
 
     is_any: bool
     parts: list[Node]
@@ -78,12 +90,16 @@
 
 @dataclass(slots=True)
 class Negation(Node):
+    """`not` applied `count` times."""
+
     times: int
     part: Node
 
 
 @dataclass(slots=True)
 class Compare(Node):
+    """A comparison: == != < <= > >=, `in` or `not in`."""
+
     sign: str
     left: Node
     right: Node
@@ -91,7 +107,7 @@
 
 @dataclass(slots=True)
 class Chain(Node):
-    """A first operand, then (sign, its place, operand) from left to right."""
+    """Binary operators of equal precedence; `rest` holds (operator, position, operand) from left to right."""
 
     first: Node
     rest: list[tuple[str, At, Node]]
@@ -99,13 +115,15 @@
 
 @dataclass(slots=True)
 class Signed(Node):
+    """Unary plus and minus; `negates` if the number of minus signs is odd."""
+
     minus: bool
     part: Node
 
 
 @dataclass(slots=True)
 class Argument(Node):
-    """`name` is empty for a positional one."""
+    """An argument of a call; `name` is empty if it is positional."""
 
     name: str
     value: Node
@@ -113,18 +131,24 @@
 
 @dataclass(slots=True)
 class Call(Node):
+    """`function(arguments)`."""
+
     function: Node
     arguments: list[Argument]
 
 
 @dataclass(slots=True)
 class Index(Node):
+    """`value[key]`."""
+
     of: Node
     key: Node
 
 
 @dataclass(slots=True)
 class Attribute(Node):
+    """`value.name`."""
+
     of: Node
     name: str
 
@@ -134,6 +158,8 @@
 
 @dataclass(slots=True)
 class Assign(Node):
+    """`a = value`, or `a, b = value` if `unpack`."""
+
     targets: list[Name]
     value: Node
     unpack: bool = False
@@ -141,34 +167,43 @@
 
 @dataclass(slots=True)
 class Augment(Node):
+    """`target += value`."""
+
     target: Name
     value: Node
 
 
 @dataclass(slots=True)
 class Expression(Node):
+    """An expression as a statement."""
+
     value: Node
 
 
 @dataclass(slots=True)
 class Return(Node):
+    """`return` with an optional value."""
+
     value: Node | None
 
 
 @dataclass(slots=True)
 class Pass(Node):
+    """`pass`."""
     pass
 
 
 @dataclass(slots=True)
 class Stray(Node):
-    """`break` and `continue`: only in a loop."""
+    """`break` or `continue`; the grammar does not check that it is inside a loop."""
 
     word: str
 
 
 @dataclass(slots=True)
 class Define(Node):
+    """`def name(parameters): body`; parameters are pairs of a name and an optional default."""
+
     name: Name
     parameters: list[tuple[Name, Node | None]]
     body: list[Node]
@@ -176,6 +211,8 @@
 
 @dataclass(slots=True)
 class Loop(Node):
+    """`for targets in items: body`."""
+
     targets: list[Name]
     items: Node
     body: list[Node]
@@ -183,13 +220,15 @@
 
 @dataclass(slots=True)
 class Branch(Node):
+    """`if`, `elif` and `else`; `branches` are pairs of a condition and its statements."""
+
     branches: list[tuple[Node, list[Node]]]
     otherwise: list[Node]
 
 
 @dataclass(slots=True)
 class Load(Node):
-    """`load("other.star", "A", local = "B")`: (local name, name there, its place)."""
+    """`load("other.star", "A", local = "B")`; `names` holds (local name, name in the other file, position)."""
 
     path: str
     path_at: At
