--- a/hollystage/language/format.py
+++ b/hollystage/language/format.py
@@ -1,8 +1,8 @@
-"""The one way a script is written down: four spaces a block, lines up to 100 columns, a comma after each last
-element that stands on a line of its own.
+"""Formats scripts: four spaces of indentation, lines of up to 100 columns, trailing commas in expanded brackets.
 
-It goes by tokens, not by the tree: no token but a last comma, a quote's kind, a space, a newline is ever added or
-taken away, so it cannot change what the script means; and every comment has a place among the tokens.
+The formatter works on tokens instead of the syntax tree. It adds and removes only trailing commas, spaces and
+newlines, and changes only the kind of quotes, so it cannot change the meaning of a script. Comments are tokens too,
+so none is lost.
 """
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 from .tokens import Token
 
 WIDTH, STEP = 100, 4
-ENDS = {"NAME", "STRING", "NUMBER", "QUANTITY", "RPAR", "RSQB", "RBRACE", "TRUE", "FALSE", "NONE"}  # of a value
-SPLITS = {"FOR", "IF"}  # where a comprehension that does not fit goes on on the next line
+# tokens that can end a value
+ENDS = {"NAME", "STRING", "NUMBER", "QUANTITY", "RPAR", "RSQB", "RBRACE", "TRUE", "FALSE", "NONE"}
+SPLITS = {"FOR", "IF"}  # tokens that start a new line in a comprehension that is too long
 
 
 @dataclass(slots=True)
 class Element:
-    """What stands between two commas, with its comments."""
+    """One element between commas, with its comments."""
 
     parts: list[Token | Group] = field(default_factory=list)
     above: list[str] = field(default_factory=list)
@@ -29,18 +30,18 @@
 
 @dataclass(slots=True)
 class Group:
-    """A pair of brackets."""
+    """A pair of brackets and its elements."""
 
     opening: Token
     closing: Token
     elements: list[Element]
     below: list[str]  # comments after the last element
-    comma: bool  # behind its last element
-    calls: bool  # arguments or parameters, or an index
+    comma: bool  # a comma follows the last element
+    calls: bool  # the brackets hold arguments, parameters or an index
 
     @property
     def open_end(self) -> bool:
-        """Whether a comma may follow the last element without another meaning."""
+        """Whether a comma after the last element leaves the meaning unchanged."""
         if not self.elements or self.opening.type == "LSQB" and self.calls:
             return False
         tokens = [part for element in self.elements for part in element.parts]
@@ -49,6 +50,7 @@
         return self.opening.type != "LPAR" or self.calls or len(self.elements) > 1 or self.comma
 
     def commented(self) -> bool:
+        """Whether there is a comment anywhere between the brackets."""
         if self.below:
             return True
         return any(element.above or element.behind or any(
@@ -56,7 +58,10 @@
 
 
 def formatted(text: str, name: str) -> str:
-    """The text in its one form; `Unusable` where it cannot be read.
+    """Formats a script.
+
+    Raises:
+        ScriptError: the script cannot be parsed.
 
     >>> print(formatted("a=[1,2 , 3]#x\\nif a :\\n  b(c = -1 )", "a.star"), end="")
     a = [1, 2, 3]  # x
@@ -71,14 +76,14 @@
 
 
 class _Lines:
-    """Walks the logical lines of a file and finds each one's block."""
+    """Formats the logical lines of a file one by one and tracks the block that each belongs to."""
 
     def __init__(self, tokens: list[Token]) -> None:
         self.tokens, self.at = tokens, 0
         self.out: list[str] = []
-        self.columns = [1]  # at which the open blocks start, as they were written
+        self.columns = [1]  # start columns of the open blocks in the source
         self.opens = False  # the last line ended with a colon
-        self.loose: list[Token] = []  # comments that wait for the line below, to know their block
+        self.loose: list[Token] = []  # comments above the next line, whose block is not known yet
 
     def lines(self) -> list[str]:
         blank, start = 0, True
@@ -104,15 +109,15 @@
         self.out.append("")
         return self.out if len(self.out) > 1 else [""]
 
-    def _gap(self, at: int) -> None:
-        self.loose.insert(at, Token("NEWLINE", "", 0, 0))
+    def _gap(self, position: int) -> None:
+        self.loose.insert(position, Token("NEWLINE", "", 0, 0))
 
     def _blank(self) -> None:
         if self.out and self.out[-1]:
             self.out.append("")
 
     def _settle(self, column: int) -> None:
-        """Opens and closes blocks for a line that starts at `column`, and writes the comments above it."""
+        """Opens and closes blocks for a line that starts at `column`, and emits the comments above it."""
         deepest = list(self.columns)
         if self.opens and column > self.columns[-1]:
             self.columns.append(column)
@@ -124,22 +129,22 @@
             if comment.type == "NEWLINE":
                 self._blank()
                 continue
-            # above a line of its own block, or the last of a block that ends here
-            level = max((at for at, start in enumerate(deepest) if start <= comment.column), default=0)
+            # a comment belongs to the block of the line below it, or ends a block that is closed here
+            level = max((index for index, start in enumerate(deepest) if start <= comment.column), default=0)
             level = max(level, len(self.columns) - 1) if comment.column >= column else level
             self.out.append(" " * (STEP * level) + _comment(comment))
         self.loose = []
 
     def _line(self) -> None:
         indent = STEP * (len(self.columns) - 1)
-        element, behind = Element(), ""
+        element, trailing_comment = Element(), ""
         last = self.tokens[self.at]
         while self.at < len(self.tokens):
             token = self.tokens[self.at]
             if token.type == "NEWLINE":
                 break
             if token.type == "COMMENT":
-                behind = _comment(token)
+                trailing_comment = _comment(token)
                 self.at += 1
                 break
             if token.type in OPENING:
@@ -149,10 +154,10 @@
                 self.at += 1
             last = token
         self.opens = last.type == "COLON"
-        # a comment behind the line counts for nothing in its width: it may be as long as it likes
+        # a trailing comment does not count towards the line width
         rows = _render(element.parts, indent, 0)
-        if behind:
-            rows[-1] += f"  {behind}"
+        if trailing_comment:
+            rows[-1] += f"  {trailing_comment}"
         self.out += [" " * indent + rows[0], *rows[1:]]
 
     def _group(self, before: list[Token | Group]) -> Group:
@@ -162,7 +167,7 @@
         calls = isinstance(previous, Group) or isinstance(previous, Token) and previous.type in ENDS
         group = Group(opening, opening, [], [], False, calls)
         element, line = Element(), opening.line
-        loose: list[str] = []  # on lines of their own below the element's last part: what follows tells whose
+        loose: list[str] = []  # comments on their own lines; the next token decides which element they belong to
         while True:
             token = self.tokens[self.at]
             if token.type in CLOSING:
@@ -210,30 +215,30 @@
     return text
 
 
-def _glued(before: Token | Group, part: Token | Group, sign: bool) -> bool:
-    """Whether no space stands between two neighbours; `sign`: the one before is a sign, not an operator."""
+def _glued(before: Token | Group, part: Token | Group, unary: bool) -> bool:
+    """Whether there is no space between two neighbours; `unary`: the first is a unary plus or minus."""
     if isinstance(part, Group):
-        return part.calls or sign
+        return part.calls or unary
     if part.type in ("COMMA", "COLON"):
         return True
     if isinstance(before, Token):
-        if before.text == "." or sign:
+        if before.text == "." or unary:
             return True
     return part.text == "."
 
 
 def _flat(parts: list[Token | Group]) -> str:
-    out: list[str] = []
+    pieces: list[str] = []
     before: Token | Group | None = None
-    sign = False
+    unary = False
     for part in parts:
-        if before is not None and not _glued(before, part, sign):
-            out.append(" ")
-        out.append(_flat_group(part) if isinstance(part, Group) else _token(part))
+        if before is not None and not _glued(before, part, unary):
+            pieces.append(" ")
+        pieces.append(_flat_group(part) if isinstance(part, Group) else _token(part))
         value_before = isinstance(before, Group) or before is not None and before.type in ENDS
-        sign = isinstance(part, Token) and part.type in ("MINUS", "PLUS") and not value_before
+        unary = isinstance(part, Token) and part.type in ("MINUS", "PLUS") and not value_before
         before = part
-    return "".join(out)
+    return "".join(pieces)
 
 
 def _flat_group(group: Group) -> str:
@@ -243,7 +248,10 @@
 
 
 def _render(parts: list[Token | Group], indent: int, tail: int) -> list[str]:
-    """The lines of one logical line or element; the first without its indentation. `tail`: what follows it."""
+    """The lines of one logical line or element; the first without its indentation.
+
+    `tail` is the number of characters that will follow the last line. Brackets are expanded until all lines fit.
+    """
     groups = [part for part in parts if isinstance(part, Group)]
     exploded = {id(group) for group in groups if group.commented()}
     while True:
@@ -252,13 +260,13 @@
         rest = [group for group in groups if id(group) not in exploded and group.elements]
         if longest <= WIDTH or not rest:
             return rows
-        # the last group with most in it: the arguments of a call before its function's
+        # expand the group with the longest text first: usually the arguments of the call
         exploded.add(id(max(rest, key=lambda group: len(_flat_group(group)))))
 
 
 def _laid(parts: list[Token | Group], indent: int, exploded: set[int]) -> list[str]:
     rows = [""]
-    run: list[Token | Group] = []  # what goes on one line
+    run: list[Token | Group] = []  # parts that go on the same line
 
     def flush() -> None:
         rows[-1] += _flat(run)
@@ -267,13 +275,13 @@
         if not isinstance(part, Group) or id(part) not in exploded:
             run.append(part)
             continue
-        # what stands before the brackets tells whether a space does
+        # an empty group with the opening bracket, so that the space before it is chosen as usual
         run.append(Group(part.opening, Token("EMPTY", "", 0, 0), [], [], False, part.calls))
         flush()
         run = []
         rows += _exploded(part, indent + STEP)
         rows.append(" " * indent + part.closing.text)
-        run = [Token("RPAR", "", 0, 0)]  # a value ends here: stands for the closed brackets
+        run = [Token("RPAR", "", 0, 0)]  # stands for the closing bracket: a value ends here
     flush()
     return rows
 
@@ -281,9 +289,9 @@
 def _exploded(group: Group, indent: int) -> list[str]:
     rows: list[str] = []
     pad = " " * indent
-    for at, element in enumerate(group.elements):
+    for index, element in enumerate(group.elements):
         rows += [pad + comment for comment in element.above]
-        last = at == len(group.elements) - 1
+        last = index == len(group.elements) - 1
         comma = "," if not last or group.open_end else ""
         lines = _pieces(element.parts, indent, len(comma))
         lines[-1] += comma + (f"  {element.behind}" if element.behind else "")
@@ -292,16 +300,16 @@
 
 
 def _pieces(parts: list[Token | Group], indent: int, tail: int) -> list[str]:
-    """One element, a comprehension one line a clause."""
-    starts = [at for at, part in enumerate(parts) if isinstance(part, Token) and part.type == "FOR"]
+    """The lines of one element; a comprehension gets one line per clause."""
+    starts = [index for index, part in enumerate(parts) if isinstance(part, Token) and part.type == "FOR"]
     pad = " " * indent
     if not starts:
         rows = _render(parts, indent, tail)
         return [pad + rows[0], *rows[1:]]
-    cuts = [0, *(at for at, part in enumerate(parts) if at >= starts[0] and isinstance(part, Token)
+    cuts = [0, *(index for index, part in enumerate(parts) if index >= starts[0] and isinstance(part, Token)
                  and part.type in SPLITS), len(parts)]
-    out: list[str] = []
+    lines: list[str] = []
     for start, end in zip(cuts, cuts[1:], strict=False):
         rows = _render(parts[start:end], indent, tail)
-        out += [pad + rows[0], *rows[1:]]
-    return out
+        lines += [pad + rows[0], *rows[1:]]
+    return lines
--- a/hollystage/language/names.py
+++ b/hollystage/language/names.py
@@ -1,6 +1,6 @@
-"""What can be told of names before anything is evaluated: unknown ones, doubled ones, unused ones.
+"""Static check of names before evaluation: undefined, duplicate and unused names.
 
-The body of a def that is never called is looked at too.
+The bodies of functions are checked even if the functions are never called.
 """
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 
 @dataclass(slots=True)
 class Scope:
-    """The names of a file, of a def or of a comprehension, and where each was first given a value."""
+    """The names of a file, a function or a comprehension, with the position of each first definition."""
 
     outer: Scope | None = None
     defined: dict[str, At] = field(default_factory=dict)
     used: set[str] = field(default_factory=set)
 
     def use(self, name: str) -> bool:
+        """Marks a name as used in the innermost scope that defines it; returns whether there is one."""
         scope: Scope | None = self
         while scope is not None:
             if name in scope.defined:
@@ -30,6 +31,7 @@
         return False
 
     def known(self) -> Iterable[str]:
+        """The names of this scope and all outer ones."""
         scope: Scope | None = self
         while scope is not None:
             yield from scope.defined
@@ -37,32 +39,34 @@
 
 
 class Names:
-    """Checks one file; `given` are the names of the language and of the sections."""
+    """Checks one file; `predefined` are the names of builtins and sections."""
 
-    def __init__(self, file: str, given: Iterable[str], is_root: bool, faults: Faults) -> None:
-        self.file, self.given, self.is_root, self.faults = file, set(given), is_root, faults
+    def __init__(self, file: str, predefined: Iterable[str], is_root: bool, diagnostics: Faults) -> None:
+        self.file, self.given, self.is_root, self.faults = file, set(predefined), is_root, diagnostics
         self.file_scope = Scope()
-        self.loops: set[str] = set()  # variables of loops of the top level: free for the next loop
+        self.loops: set[str] = set()  # variables of top-level loops, which later loops may reuse
 
     def check(self, statements: list[Node]) -> None:
+        """Checks all statements of the file; unused names and unused imports give warnings."""
         top = self.file_scope
         for statement in statements:
             self._declare(statement, top, True)
         for statement in statements:
             self._statement(statement, top)
         loaded = {name.name for node in statements if isinstance(node, tree.Load) for name, _, _ in node.names}
-        for name, at in top.defined.items():
+        for name, position in top.defined.items():
             if name in top.used or name in self.loops or name.startswith("_") and name not in loaded:
                 continue
             if name in loaded:
-                self._tell(at, f"{name} is loaded and never used", "remove it from load()", warn=True)
+                self._tell(position, f"{name} is loaded but never used", "remove it from load()", warn=True)
             elif self.is_root:
-                self._tell(at, f"{name} is never used", "remove it, or use it", warn=True)
+                self._tell(position, f"{name} is never used", "use it, or remove it", warn=True)
 
     def exported(self) -> list[str]:
+        """The names that other files may load."""
         return [name for name in self.file_scope.defined if not name.startswith("_")]
 
-    # Names that are given a value
+    # Definitions
 
     def _declare(self, node: Node, scope: Scope, top: bool) -> None:
         match node:
@@ -88,25 +92,25 @@
             case tree.Branch():
                 before = dict(scope.defined)
                 for body in (*(body for _, body in node.branches), node.otherwise):
-                    # each branch may give the same name its value
-                    scope.defined, mine = dict(before), scope.defined
+                    # every branch may define the same name
+                    scope.defined, defined_before = dict(before), scope.defined
                     for inner in body:
                         self._declare(inner, scope, top)
-                    scope.defined = mine | scope.defined
+                    scope.defined = defined_before | scope.defined
             case _:
                 pass
 
     def _define(self, target: tree.Name, scope: Scope, top: bool) -> None:
         name = target.name
         if name in self.given:
-            self._tell(target.at, f"{name} is a word of the language", "choose another name")
+            self._tell(target.at, f"{name} is a reserved name", "choose another name")
             return
         if top and name in scope.defined:
-            self._tell(target.at, f"{name} has a value from line {scope.defined[name].line} already",
+            self._tell(target.at, f"{name} is already defined in line {scope.defined[name].line}",
                        "choose another name")
         scope.defined.setdefault(name, target.at)
 
-    # Names that are used
+    # Uses
 
     def _statement(self, node: Node, scope: Scope) -> None:
         match node:
@@ -126,16 +130,16 @@
                     if default is not None:
                         self._value(default, scope)
                     if name.name in inner.defined:
-                        self._tell(name.at, f"two parameters {name.name}", "rename one")
+                        self._tell(name.at, f"duplicate parameter {name.name}", "rename one")
                     inner.defined.setdefault(name.name, name.at)
                 parameters = set(inner.defined)
                 for statement in node.body:
                     self._declare(statement, inner, False)
                 for statement in node.body:
                     self._statement(statement, inner)
-                for local, at in inner.defined.items():
+                for local, position in inner.defined.items():
                     if local not in inner.used and local not in parameters and not local.startswith("_"):
-                        self._tell(at, f"{local} is never used", "remove it, or use it", warn=True)
+                        self._tell(position, f"{local} is never used", "use it, or remove it", warn=True)
             case tree.Loop():
                 self._value(node.items, scope)
                 for statement in node.body:
@@ -155,8 +159,8 @@
             case tree.Name():
                 if not scope.use(node.name) and node.name not in self.given:
                     close = nearest(node.name, [*scope.known(), *self.given])
-                    self._tell(node.at, f"{node.name} is not known",
-                               f"write {close}" if close else "give it a value, or load it")
+                    self._tell(node.at, f"{node.name} is not defined",
+                               f"write {close}" if close else "define it, or load it")
             case tree.ListOf():
                 for item in node.items:
                     self._value(item, scope)
@@ -197,7 +201,7 @@
                 seen: set[str] = set()
                 for argument in node.arguments:
                     if argument.name and argument.name in seen:
-                        self._tell(argument.at, f"{argument.name} is given twice", "remove one")
+                        self._tell(argument.at, f"the argument {argument.name} is repeated", "remove one")
                     seen.add(argument.name)
                     self._value(argument.value, scope)
             case tree.Index():
@@ -208,5 +212,5 @@
             case _:
                 pass
 
-    def _tell(self, at: At, what: str, fix: str, warn: bool = False) -> None:
-        self.faults.add(Where(self.file, *at), what, fix, "warning" if warn else "error")
+    def _tell(self, position: At, message: str, fix: str, warn: bool = False) -> None:
+        self.faults.add(Where(self.file, *position), message, fix, "warning" if warn else "error")
--- a/hollystage/language/sources.py
+++ b/hollystage/language/sources.py
@@ -1,4 +1,4 @@
-"""The only I/O of a script: its own text, and that of the files it loads from its folder."""
+"""Reads the root file of a script and the files that it loads from the same folder; scripts have no other I/O."""
 from __future__ import annotations
 
 import os
@@ -6,38 +6,49 @@
 
 from .faults import Faults, Where, nearest
 
-LARGEST, ALL, FILES = 1 << 20, 8 << 20, 64  # bytes of one source, of all of one run; how many
+LARGEST, ALL, FILES = 1 << 20, 8 << 20, 64  # bytes of one file; bytes and number of all files of one run
 
 
 class Refused(ValueError):
-    """A source that cannot be taken; `fix` says how it can."""
+    """A file cannot be read or its name is not allowed.
 
-    def __init__(self, what: str, fix: str) -> None:
-        super().__init__(what)
+    Attributes:
+        fix: what to change.
+    """
+
+    def __init__(self, message: str, fix: str) -> None:
+        super().__init__(message)
         self.fix = fix
 
 
 class Folder(Protocol):
-    """Where sources come from; names are relative, with / between their parts."""
+    """Where files are read from; names are relative, with `/` as the separator."""
 
-    def read(self, name: str) -> bytes: ...
+    def read(self, name: str) -> bytes:
+        """The content of a file.
+
+        Raises:
+            SourceError: the file does not exist, cannot be read or is outside the folder.
+        """
+        ...
 
 
 class Disk:
-    """The folder of the root file. No name leads out of it, no link either.
+    """The directory of the root file. Files are refused if their real path, with all links resolved, is outside.
 
-    A name ends at its first link out of the folder even where the link's target lies inside again: what a plan
-    is made of is to be seen in one place.
+    All parts of a plan are thus visible in one place.
     """
 
     def __init__(self, folder: str) -> None:
         self.folder = os.path.realpath(folder)
 
     def read(self, name: str) -> bytes:
+        """At most MAX_SOURCE_BYTES + 1 bytes of a file, enough to see that it is too large."""
         path = os.path.join(self.folder, *name.split("/"))
         real = os.path.realpath(path)
         if os.path.commonpath([real, self.folder]) != self.folder:
-            raise Refused(f'"{name}" is a link out of the folder of the plan', "copy the file into the folder")
+            raise Refused(f'"{name}" is a symbolic link out of the folder of the plan',
+                          "copy the file into the folder")
         try:
             if os.path.isdir(real):
                 raise Refused(f'"{name}" is a folder', "name a file in it")
@@ -46,9 +57,9 @@
         except FileNotFoundError:
             close = nearest(name, self._names())
             raise Refused(f'"{name}" does not exist', f'write "{close}"' if close
-                          else "create it, or remove what loads it") from None
-        except OSError as bad:
-            raise Refused(f'"{name}" cannot be read: {bad.strerror}', "check its rights") from bad
+                          else "create it, or remove the load()") from None
+        except OSError as error:
+            raise Refused(f'"{name}" cannot be read: {error.strerror}', "check its permissions") from error
 
     def _names(self) -> list[str]:
         names: list[str] = []
@@ -60,38 +71,42 @@
 
 
 class Memory:
-    """Sources that are at hand, for tests and for programs that make their own."""
+    """Files in memory, for tests and for programs that generate scripts."""
 
     def __init__(self, files: dict[str, bytes]) -> None:
         self.files = files
 
     def read(self, name: str) -> bytes:
+        """The content of a file."""
         if name not in self.files:
             close = nearest(name, self.files)
             raise Refused(f'"{name}" does not exist', f'write "{close}"' if close
-                          else "create it, or remove what loads it")
+                          else "create it, or remove the load()")
         return self.files[name]
 
 
-def text_of(data: bytes, name: str, faults: Faults) -> str | None:
-    """The text of a source, or None where it is none; told in `faults`."""
+def text_of(data: bytes, name: str, diagnostics: Faults) -> str | None:
+    """Decodes a file as UTF-8; returns None and adds an error to `diagnostics` if it is too large or not UTF-8."""
     start = Where(name, 1, 1)
     if len(data) > LARGEST:
-        faults.add(start, f"a source of more than {LARGEST // 1024} KiB", "split it, or write a loop")
+        diagnostics.add(start, f"a file of more than {LARGEST // 1024} KiB", "split it, or use loops")
         return None
     try:
         text = data.decode("utf-8")
-    except UnicodeDecodeError as bad:
-        line = data.count(b"\n", 0, bad.start) + 1
-        column = bad.start - (data.rfind(b"\n", 0, bad.start) + 1) + 1
-        faults.add(Where(name, line, column), f"the byte 0x{data[bad.start]:02x} is not UTF-8",
+    except UnicodeDecodeError as error:
+        line = data.count(b"\n", 0, error.start) + 1
+        column = error.start - (data.rfind(b"\n", 0, error.start) + 1) + 1
+        diagnostics.add(Where(name, line, column), f"the byte 0x{data[error.start]:02x} is not UTF-8",
                    "save the file as UTF-8")
         return None
     return text.removeprefix("\ufeff")
 
 
 def resolved(path: str, loader: str) -> str:
-    """The name of a loaded file from the folder on; `loader` is the name of the file that loads it.
+    """The name, relative to the folder, of a file that is loaded as `path` by the file `loader`.
+
+    Raises:
+        SourceError: the path is not valid or leads out of the folder.
 
     >>> resolved("../shared/units.star", "sites/a.star")
     'shared/units.star'
@@ -100,9 +115,9 @@
     hollystage.language.sources.Refused: "../units.star" leads out of the folder of the plan
     """
     if not path or "\0" in path or "\\" in path:
-        raise Refused(f'"{path}" is no file name', 'write load("file.star", "NAME")')
+        raise Refused(f'"{path}" is not a valid file name', 'write load("file.star", "NAME")')
     if path.startswith("/"):
-        raise Refused(f'"{path}" is not relative', "name the file from this one's folder on")
+        raise Refused(f'"{path}" is not relative', "use a path relative to the folder of this file")
     parts = loader.split("/")[:-1]
     for part in path.split("/"):
         if part == "..":
--- a/hollystage/language/units.py
+++ b/hollystage/language/units.py
@@ -1,7 +1,7 @@
-"""Amounts with units: literals, arithmetic that keeps dimensions, and the unit that was probably meant.
+"""Quantities with units: literals, arithmetic with dimensions, and suggestions for wrong or missing units.
 
-Amounts are exact fractions: of microseconds, bytes, events a second, or of a whole. `2.1s` is 2,100,000 us and
-nothing near it.
+Amounts are exact fractions, in microseconds, bytes, events per second, or as a share of 1: `2.1s` is exactly
+2,100,000 us.
 """
 from __future__ import annotations
 
@@ -11,10 +11,12 @@
 from fractions import Fraction
 from typing import Any
 
-DIGITS = 60  # of a numerator or denominator: guards against numbers that are squared in a loop
+DIGITS = 60  # of a numerator or denominator; bounds numbers that a script squares in a loop
 
 
 class Dimension(Enum):
+    """What an amount measures; a plain number has the dimension NUMBER."""
+
     NUMBER = "number"
     TIME = "time"
     SIZE = "size"
@@ -33,10 +35,10 @@
     "%": (SHARE, Fraction(1, 100)),
 }
 SHORT = {"us": 1, "ms": 1, "s": 1, "min": 0, "h": 0, "B": 1, "KiB": 1, "MiB": 1, "GiB": 1, "/s": 1, "/min": 0,
-         "/h": 0, "%": 1}  # 0: written only where it comes out whole
+         "/h": 0, "%": 1}  # 0: the unit is used only for whole numbers
 EXAMPLE = {TIME: "830ms", SIZE: "24KiB", RATE: "190/s", SHARE: "30%", NUMBER: "2"}
 ARTICLE = {TIME: "a time", SIZE: "a size", RATE: "a rate", SHARE: "a share", NUMBER: "a number"}
-# what people write for them elsewhere
+# common wrong spellings of units, for suggestions
 MEANT = {"us": ("usec", "micros", "microseconds"), "ms": ("msec", "msecs", "millis", "milliseconds", "Ms", "MS"),
          "s": ("sec", "secs", "second", "seconds", "S"), "min": ("m", "mins", "minute", "minutes"),
          "h": ("hr", "hrs", "hour", "hours", "H"), "B": ("b", "byte", "bytes"),
@@ -45,15 +47,21 @@
 
 
 class Mismatch(ValueError):
-    """An operation on amounts that do not go together; `fix` says what was probably meant."""
+    """A literal or an operation on quantities has no valid result.
+
+    Attributes:
+        fix: what to change, if possible with the literal that was probably meant.
+    """
 
-    def __init__(self, what: str, fix: str) -> None:
-        super().__init__(what)
+    def __init__(self, message: str, fix: str) -> None:
+        super().__init__(message)
         self.fix = fix
 
 
 @dataclass(frozen=True, slots=True)
 class Quantity:
+    """An amount with a dimension other than NUMBER, in the base unit of the dimension."""
+
     amount: Fraction
     dimension: Dimension
 
@@ -67,47 +75,51 @@
 
 
 def literal(text: str) -> Quantity:
-    """
+    """Parses a literal with a unit.
+
     >>> literal("2.1s").amount, literal("30%").amount, literal("24KiB").amount, literal("6/min").amount
     (Fraction(2100000, 1), Fraction(3, 10), Fraction(24576, 1), Fraction(1, 10))
     """
     match = re.fullmatch(r"([0-9]+(?:\.[0-9]+)?)(.+)", text)
     if match is None or match[2] not in UNITS:
-        raise Mismatch(f"{text} has no unit of the language", f"write {meant(text) or EXAMPLE[TIME]}")
+        raise Mismatch(f"{text} has an unknown unit", f"write {meant(text) or EXAMPLE[TIME]}")
     dimension, factor = UNITS[match[2]]
     return Quantity(bounded(Fraction(match[1]) * factor), dimension)
 
 
 def number(text: str) -> int | Fraction:
+    """Parses a literal without a unit."""
     return whole(bounded(Fraction(text)))
 
 
 def whole(value: Fraction) -> int | Fraction:
+    """The value as an int if it is a whole number, else unchanged."""
     return value.numerator if value.denominator == 1 else value
 
 
 def bounded(value: Fraction) -> Fraction:
+    """The value itself; raises QuantityError if it has more than MAX_DIGITS digits."""
     if max(abs(value.numerator), value.denominator) >= 10 ** DIGITS:
-        raise Mismatch(f"a number of more than {DIGITS} digits", "keep amounts within what they measure")
+        raise Mismatch(f"a number of more than {DIGITS} digits", "use smaller or less precise numbers")
     return value
 
 
 def meant(text: str) -> str | None:
-    """What a number with an unknown unit was probably meant to be.
+    """The literal that was probably meant by a number with an unknown unit, or None.
 
     >>> meant("830msec"), meant("24KB"), meant("5parsecs")
     ('830ms', '24KiB', None)
     """
     match = re.fullmatch(r"([0-9]+(?:\.[0-9]+)?)([A-Za-z%]+)", text)
     if match:
-        for unit, others in MEANT.items():
-            if match[2] in others or match[2] == unit:
+        for unit, misspellings in MEANT.items():
+            if match[2] in misspellings or match[2] == unit:
                 return match[1] + unit
     return None
 
 
 def dimension_of(value: Any) -> Dimension | None:
-    """The dimension of an amount; None for what is none (True and False are none either)."""
+    """The dimension of a number or quantity; None for other values, also for True and False."""
     if isinstance(value, Quantity):
         return value.dimension
     if isinstance(value, int | Fraction) and not isinstance(value, bool):
@@ -116,16 +128,18 @@
 
 
 def amount_of(value: Amount) -> Fraction:
+    """The amount in the base unit of its dimension."""
     return value.amount if isinstance(value, Quantity) else Fraction(value)
 
 
 def made(amount: Fraction, dimension: Dimension) -> Amount:
+    """A number or quantity from an amount in the base unit of the dimension."""
     bounded(amount)
     return whole(amount) if dimension is NUMBER else Quantity(amount, dimension)
 
 
 def written(value: Amount) -> str:
-    """The shortest literal that means exactly this amount, or a quotient of two where none does.
+    """The shortest literal for exactly this amount, or a quotient if no literal is exact.
 
     >>> [written(literal(text)) for text in ("2100ms", "0.5s", "2048KiB", "0.3%", "60min", "90s")]
     ['2.1s', '500ms', '2MiB', '0.3%', '1h', '90s']
@@ -177,20 +191,24 @@
     return f"-{text}" if value < 0 else text
 
 
-def with_unit(value: int | Fraction, due: Dimension) -> str:
-    """What a bare number was probably meant to be where an amount is due, by the size of the number."""
-    amount = written(value)
-    if due is TIME:
-        return f"{amount}{'ms' if value >= 50 else 's'}"
-    if due is SIZE:
-        return f"{amount}{'KiB' if value < 10 ** 6 else 'B'}"
-    if due is SHARE:
-        return f"{written(whole(Fraction(value) * 100))}%" if 0 < value <= 1 else f"{amount}%"
-    return f"{amount}/s" if due is RATE else amount
+def with_unit(value: int | Fraction, dimension: Dimension) -> str:
+    """The literal that was probably meant by a number without a unit, chosen by its size.
+
+    `dimension` is the dimension that is required.
+    """
+    text = written(value)
+    if dimension is TIME:
+        return f"{text}{'ms' if value >= 50 else 's'}"
+    if dimension is SIZE:
+        return f"{text}{'KiB' if value < 10 ** 6 else 'B'}"
+    if dimension is SHARE:
+        return f"{written(whole(Fraction(value) * 100))}%" if 0 < value <= 1 else f"{text}%"
+    return f"{text}/s" if dimension is RATE else text
 
 
 def describe(value: Any) -> str:
-    """
+    """A value as messages name it.
+
     >>> describe(literal("2s")), describe(3), describe("a"), describe(None), describe([1])
     ('the time 2s', 'the number 3', 'the string "a"', 'None', 'a list')
     """
@@ -208,49 +226,53 @@
     return str(getattr(value, "described", "a function"))
 
 
-def arithmetic(sign: str, left: Any, right: Any) -> Amount:
-    """`left sign right`, where the dimensions allow it.
+def arithmetic(operator: str, left: Any, right: Any) -> Amount:
+    """Computes `left operator right`.
+
+    Raises:
+        QuantityError: the dimensions do not allow the operation, or a division by zero.
 
     >>> arithmetic("+", literal("2s"), literal("30ms")), arithmetic("/", literal("1s"), literal("250ms"))
     (2030ms, 4)
     >>> arithmetic("*", literal("190/s"), literal("2s")), arithmetic("*", literal("30%"), literal("1s"))
     (380, 300ms)
     """
-    one, other = dimension_of(left), dimension_of(right)
-    if one is None or other is None:
-        raise Mismatch(f"{describe(left)} {sign} {describe(right)} means nothing",
-                       "use amounts, or two of one kind")
+    left_dimension, right_dimension = dimension_of(left), dimension_of(right)
+    if left_dimension is None or right_dimension is None:
+        raise Mismatch(f"{operator} is not defined for {describe(left)} and {describe(right)}",
+                       "use numbers, quantities, or two values of one type")
     a, b = amount_of(left), amount_of(right)
-    if sign in ("/", "//", "%") and b == 0:
-        raise Mismatch("a division by zero", "divide by something else")
-    if sign in ("+", "-"):
-        if one is not other:
-            raise _unlike(sign, left, right)
-        return made(a + b if sign == "+" else a - b, one)
-    if sign == "*":
-        if {one, other} == {TIME, RATE}:
-            return made(a * b / 10 ** 6, NUMBER)  # times are in microseconds, rates a second
-        if NUMBER in (one, other):
-            return made(a * b, other if one is NUMBER else one)
-        if SHARE in (one, other):
-            return made(a * b, other if one is SHARE else one)
-    elif sign == "/":
-        if one is other:
+    if operator in ("/", "//", "%") and b == 0:
+        raise Mismatch("a division by zero", "use a divisor other than 0")
+    if operator in ("+", "-"):
+        if left_dimension is not right_dimension:
+            raise _unlike(operator, left, right)
+        return made(a + b if operator == "+" else a - b, left_dimension)
+    if operator == "*":
+        if {left_dimension, right_dimension} == {TIME, RATE}:
+            return made(a * b / 10 ** 6, NUMBER)  # times are in microseconds, rates per second
+        if NUMBER in (left_dimension, right_dimension):
+            return made(a * b, right_dimension if left_dimension is NUMBER else left_dimension)
+        if SHARE in (left_dimension, right_dimension):
+            return made(a * b, right_dimension if left_dimension is SHARE else left_dimension)
+    elif operator == "/":
+        if left_dimension is right_dimension:
             return made(a / b, NUMBER)
-        if other in (NUMBER, SHARE):
-            return made(a / b, one)
-        if one is NUMBER and other in (TIME, RATE):
-            return made(a * 10 ** 6 / b, RATE if other is TIME else TIME)
-    elif one is other:
-        return made(Fraction(a // b), NUMBER) if sign == "//" else made(a - b * (a // b), one)
-    raise Mismatch(f"{describe(left)} {sign} {describe(right)} has no unit", "check which of the two is meant")
-
-
-def _unlike(sign: str, left: Any, right: Any) -> Mismatch:
-    """For a bare number beside an amount the fix names the unit that is probably missing."""
-    for bare, amount in ((left, right), (right, left)):
-        if dimension_of(bare) is NUMBER:
-            probably = with_unit(bare, amount.dimension)
-            return Mismatch(f"{describe(left)} {sign} {describe(right)} mixes units",
-                            f"write {probably} for {written(bare)}")
-    return Mismatch(f"{describe(left)} {sign} {describe(right)} mixes units", "use amounts of one kind")
+        if right_dimension in (NUMBER, SHARE):
+            return made(a / b, left_dimension)
+        if left_dimension is NUMBER and right_dimension in (TIME, RATE):
+            return made(a * 10 ** 6 / b, RATE if right_dimension is TIME else TIME)
+    elif left_dimension is right_dimension:
+        return made(Fraction(a // b), NUMBER) if operator == "//" else made(a - b * (a // b), left_dimension)
+    raise Mismatch(f"the result of {describe(left)} {operator} {describe(right)} has no valid unit",
+                   "check both operands")
+
+
+def _unlike(operator: str, left: Any, right: Any) -> Mismatch:
+    """If one operand is a number without a unit, the fix suggests the unit that is probably missing."""
+    for number_without_unit, quantity in ((left, right), (right, left)):
+        if dimension_of(number_without_unit) is NUMBER:
+            suggestion = with_unit(number_without_unit, quantity.dimension)
+            return Mismatch(f"{describe(left)} {operator} {describe(right)} mixes units",
+                            f"write {suggestion} for {written(number_without_unit)}")
+    return Mismatch(f"{describe(left)} {operator} {describe(right)} mixes units", "use quantities of the same kind")
