--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -1,4 +1,4 @@
-"""The settings script: every message of the corpus, formatting that keeps meaning, inputs that mean harm."""
+"""Settings scripts: the messages of the corpus, formatting that preserves the meaning, hostile input."""
 import os
 import pathlib
 import resource
@@ -28,31 +28,31 @@
 
 
 @pytest.mark.parametrize("name, messages", expected().items())
-def test_each_broken_file_gets_its_messages(name, messages):
+def test_broken_file_gives_expected_messages(name, messages):
     result = read_file(str(HERE / "bad" / f"{name}.star"))
-    assert [str(fault) for fault in result.faults] == messages
+    assert [str(diagnostic) for diagnostic in result.faults] == messages
     assert result.errors or name == "unused"
 
 
-def test_the_corpus_is_what_it_is_said_to_be():
+def test_corpus_matches_expected_messages():
     files = {path.stem for path in (HERE / "bad").glob("*.star") if not path.stem.startswith(("_", "shared"))}
     assert files == set(expected()) and len(files) >= 150 and len(GOOD) >= 30
 
 
-def at_once(text, name="a.star"):
+def read_text(text, name="a.star"):
     return read(Memory({name: text if isinstance(text, bytes) else text.encode()}), name)
 
 
 @pytest.mark.parametrize("path", GOOD, ids=lambda path: path.stem)
-def test_formatting_keeps_the_meaning_and_is_done_once(path):
+def test_formatting_preserves_meaning_and_is_idempotent(path):
     text = text_of(path.read_bytes(), path.name, Faults())
-    once = formatted(text, path.name)
-    assert formatted(once, path.name) == once
+    formatted_text = formatted(text, path.name)
+    assert formatted(formatted_text, path.name) == formatted_text
     files = {str(p.relative_to(path.parent)): p.read_bytes() for p in path.parent.glob("**/*.star")}
-    before, after = read_file(str(path)), read(Memory(files | {path.name: once.encode()}), path.name)
+    before, after = read_file(str(path)), read(Memory(files | {path.name: formatted_text.encode()}), path.name)
     assert not before.errors and not after.errors
     assert compare(before.plan, after.plan) == [] and len(before.plan.entries) == len(after.plan.entries)
-    assert comments(text) == comments(once)
+    assert comments(text) == comments(formatted_text)
 
 
 def comments(text):
@@ -61,13 +61,13 @@
 
 
 @pytest.mark.parametrize("path", GOOD, ids=lambda path: path.stem)
-def test_what_show_prints_means_the_same(path):
+def test_printed_plan_is_equivalent(path):
     plan = read_file(str(path)).plan
-    shown = at_once(script(plan))
+    shown = read_text(script(plan))
     assert not shown.errors and compare(plan, shown.plan) == []
 
 
-# Programs that nobody wrote
+# Generated programs
 
 NAMES = st.sampled_from(["a", "b1", "_c", "lookup", "car_hold"])
 LITERALS = st.one_of(
@@ -76,7 +76,7 @@
                      "'q\"q'", "'t\\t'"]))
 
 
-def brackets(inner):
+def bracketed(inner):
     several = st.lists(inner, max_size=3)
     gap = st.sampled_from([", ", ",", " ,\n  ", ",  # why\n"])
     joined = st.tuples(several, gap).map(lambda row: row[1].join(row[0]))
@@ -92,13 +92,13 @@
         st.tuples(NAMES, inner).map(lambda row: f"{row[0]}(k={row[1]})"))
 
 
-VALUES = st.recursive(LITERALS, brackets, max_leaves=12)
+VALUES = st.recursive(LITERALS, bracketed, max_leaves=12)
 SIMPLE = st.one_of(st.tuples(NAMES, VALUES).map(lambda row: f"{row[0]}={row[1]}"), VALUES.map("f({})".format),
                    st.just("pass"))
 TAILS = st.sampled_from(["", "  # tail", "#x"])
 
 
-def block(inner):
+def compound(inner):
     def indented(rows):
         return "".join(f"  {line}\n" for row in rows for line in row.rstrip("\n").split("\n"))
     body = st.lists(inner, min_size=1, max_size=3).map(indented)
@@ -110,34 +110,34 @@
 
 
 LINES = st.tuples(SIMPLE, TAILS).map("".join).map("{}\n".format)
-PROGRAMS = st.lists(st.recursive(LINES, block, max_leaves=4), max_size=5).map("".join)
+PROGRAMS = st.lists(st.recursive(LINES, compound, max_leaves=4), max_size=5).map("".join)
 
 
-def shape(text):
-    """The tree without places: what a program means before it is run."""
+def tree_shape(text):
+    """The syntax tree without positions, as nested lists."""
     from hollystage.language.syntax import Parser
     from hollystage.language.tree import Node
 
-    def bare(part):
+    def without_positions(part):
         if isinstance(part, Node):
-            return [type(part).__name__, *(bare(getattr(part, name)) for kind in type(part).__mro__
+            return [type(part).__name__, *(without_positions(getattr(part, name)) for kind in type(part).__mro__
                                            for name in getattr(kind, "__slots__", ()) if not name.endswith("at"))]
         if isinstance(part, list | tuple):
-            return [bare(item) for item in part if type(item).__name__ != "At"]
+            return [without_positions(item) for item in part if type(item).__name__ != "At"]
         return part
 
-    faults = Faults()
-    nodes, _ = Parser().parse(text, "a.star", faults)
-    assert not faults.errors(), [str(fault) for fault in faults.all()]
-    return bare(nodes)
+    diagnostics = Faults()
+    nodes, _ = Parser().parse(text, "a.star", diagnostics)
+    assert not diagnostics.errors(), [str(diagnostic) for diagnostic in diagnostics.all()]
+    return without_positions(nodes)
 
 
 @SAMPLE
 @given(PROGRAMS)
-def test_any_program_keeps_its_shape_under_formatting(text):
-    once = formatted(text, "a.star")
-    assert shape(once) == shape(text) and formatted(once, "a.star") == once
-    assert comments(text) == comments(once)
+def test_formatting_preserves_syntax_tree(text):
+    formatted_text = formatted(text, "a.star")
+    assert tree_shape(formatted_text) == tree_shape(text) and formatted(formatted_text, "a.star") == formatted_text
+    assert comments(text) == comments(formatted_text)
 
 
 @SAMPLE
@@ -145,26 +145,26 @@
                  st.lists(st.sampled_from(["method", "(", ")", "[", "{", "=", "'", '"', "\n", "    ", ":", "if ",
                                            "for ", "def ", "2s", "\\", "\0", "\r", "in ", ",", "%", "é", "#", ";",
                                            "x"]), max_size=60).map("".join).map(str.encode)))
-def test_no_input_ends_in_anything_but_messages(data):
-    result = at_once(data)
-    assert all(fault.where.line >= 1 and fault.where.column >= 1 and fault.what and fault.fix
-               for fault in result.faults)
+def test_any_input_gives_diagnostics_or_a_plan(data):
+    result = read_text(data)
+    assert all(diagnostic.where.line >= 1 and diagnostic.where.column >= 1 and diagnostic.what and diagnostic.fix
+               for diagnostic in result.faults)
     try:
         formatted(data.decode("utf-8", "replace"), "a.star")
-    except Unusable as bad:
-        assert bad.faults
+    except Unusable as error:
+        assert error.faults
 
 
 @pytest.mark.parametrize("cut", range(0, 600, 7))
-def test_a_file_cut_off_anywhere_gets_messages(cut):
+def test_truncated_file_gives_errors_or_fewer_entries(cut):
     result = read_file(str(EXAMPLES / "counter.star"))
     text = (EXAMPLES / "counter.star").read_bytes()[:cut]
     files = {"shared/promises.star": (EXAMPLES / "shared" / "promises.star").read_bytes(), "counter.star": text}
-    part = read(Memory(files), "counter.star")
-    assert part.errors or len(part.plan.entries) < len(result.plan.entries)
+    truncated = read(Memory(files), "counter.star")
+    assert truncated.errors or len(truncated.plan.entries) < len(result.plan.entries)
 
 
-HARMFUL = {
+HOSTILE = {
     "brackets": b"(" * 10_000, "closed brackets": b"[" * 10_000 + b"]" * 10_000,
     "long line": b"x = '" + b"a" * 10_000_000,
     "long line of code": b"x = 1" + b" + 1" * 100_000, "NULs": b"\0" * 100_000, "bad UTF-8": b"\xff" * 100_000,
@@ -181,45 +181,45 @@
     "join": b"_x = ('a' * 1000000).join(['b'] * 1000)\n"}
 
 
-@pytest.mark.parametrize("data", HARMFUL.values(), ids=HARMFUL)
-def test_harmful_input_is_told_soon_and_in_little_memory(data):
-    before, begun = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss, time.process_time()
-    result = at_once(data)
+@pytest.mark.parametrize("data", HOSTILE.values(), ids=HOSTILE)
+def test_hostile_input_is_bounded_in_time_and_memory(data):
+    memory_before, started_at = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss, time.process_time()
+    result = read_text(data)
     assert result.errors or data.strip() == b"" or data.startswith(b"x = ")
-    # a second on this machine; CI's may be slower, and a run without a bound takes minutes
-    assert time.process_time() - begun < 6 and len(result.faults) <= 1001
-    assert resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before < 400_000
+    # takes about a second here; CI may be slower; an evaluation without bounds would take minutes
+    assert time.process_time() - started_at < 6 and len(result.faults) <= 1001
+    assert resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - memory_before < 400_000
 
 
-def test_a_fault_of_many_places_is_told_once_a_place_and_the_rest_counted():
-    result = at_once("y = z\n" * 5000)
+def test_diagnostics_are_limited_and_the_rest_counted():
+    result = read_text("y = z\n" * 5000)
     assert len(result.faults) == 1000 and result.left_out > 0
 
 
 # Files
 
-def test_links_out_of_the_folder_are_not_followed(tmp_path):
+def test_rejects_symbolic_link_out_of_the_folder(tmp_path):
     (tmp_path / "plan").mkdir()
     (tmp_path / "secret.star").write_text("X = 1\n")
     os.symlink(tmp_path / "secret.star", tmp_path / "plan" / "link.star")
     (tmp_path / "plan" / "a.star").write_text('load("link.star", "X")\nfleet(instances = X)\n')
     (message,) = read_file(str(tmp_path / "plan" / "a.star")).faults
-    assert str(message) == ('a.star:1:6: "link.star" is a link out of the folder of the plan; '
+    assert str(message) == ('a.star:1:6: "link.star" is a symbolic link out of the folder of the plan; '
                             "fix: copy the file into the folder")
 
 
-def test_many_large_and_unreadable_files(tmp_path):
+def test_rejects_too_many_too_large_and_missing_files(tmp_path):
     for number in range(70):
         (tmp_path / f"f{number}.star").write_text(f'load("f{number + 1}.star", "X")\nX2 = X\n')
-    texts = [str(fault) for fault in read_file(str(tmp_path / "f0.star")).faults]
-    assert "f63.star:1:6: more than 64 files; fix: join some of them" in texts
+    texts = [str(diagnostic) for diagnostic in read_file(str(tmp_path / "f0.star")).faults]
+    assert "f63.star:1:6: more than 64 files; fix: merge some of them" in texts
     (tmp_path / "f0.star").write_bytes(b"#" * (LARGEST + 1))
     assert "more than 1024 KiB" in str(read_file(str(tmp_path / "f0.star")).faults[0])
     assert "does not exist" in str(read_file(str(tmp_path / "none.star")).faults[0])
     assert Disk(str(tmp_path)).read("f1.star").startswith(b"load")
 
 
-def test_the_recursion_limit_is_as_before():
+def test_recursion_limit_is_restored():
     before = sys.getrecursionlimit()
-    at_once("x = 1\n")
+    read_text("x = 1\n")
     assert sys.getrecursionlimit() == before
