--- a/hollystage/language/builtins.py
+++ b/hollystage/language/builtins.py
@@ -69,6 +69,7 @@
 
 
 def _shown(value: Any, depth: int) -> str:
+    """A value as a script would write it; `depth` is its nesting level within the converted value."""
     if depth > 4:
         raise Misused("a value nested deeper than 4 levels", "convert its parts one by one")
     if isinstance(value, str):
@@ -87,6 +88,7 @@
 
 
 def _bounded(text: str) -> str:
+    """The text itself, unless it is too long."""
     if len(text) > REPLACED:
         raise Misused(f"a string with more than {REPLACED} characters", "make it shorter")
     return text
@@ -109,6 +111,7 @@
 
 
 def _of_several(arguments: tuple[Any, ...]) -> list[Any]:
+    """The arguments themselves, or the elements of a single argument."""
     values = _sequence(arguments[0]) if len(arguments) == 1 else list(arguments)
     if not values:
         raise Misused("no values", "pass at least one value")
@@ -161,17 +164,17 @@
     "list": _sequence}
 
 
-def _format(text: str, *given: Any) -> str:
+def _format(text: str, *values: Any) -> str:
     """Replaces each `{}` in `text` by one value.
 
     >>> _format("{}-{}", "a", 2)
     'a-2'
     """
     parts = text.split("{}")
-    if len(parts) - 1 != len(given):
-        raise Misused(f"{len(parts) - 1} placeholders {{}} for {len(given)} values",
+    if len(parts) - 1 != len(values):
+        raise Misused(f"{len(parts) - 1} placeholders {{}} for {len(values)} values",
                       "pass one value for each placeholder")
-    texts = [_str(value) for value in given]
+    texts = [_str(value) for value in values]
     return _bounded("".join(part + value for part, value in zip(parts, [*texts, ""], strict=True)))
 
 
--- a/hollystage/language/evaluate.py
+++ b/hollystage/language/evaluate.py
@@ -167,7 +167,7 @@
             elif module is not None:
                 if source_name in module.names and source_name not in module.private:
                     value = module.names[source_name]
-                elif not self.faults.within(module.name):  # else one of its broken statements may define the name
+                elif not self.faults.within(module.name):  # else an invalid statement there may define the name
                     close = nearest(source_name, [known for known in module.names
                                             if not known.startswith("_") and known not in module.private])
                     self.faults.add(self._where(position), f"{node.path} does not define {source_name}",
--- a/hollystage/language/faults.py
+++ b/hollystage/language/faults.py
@@ -26,8 +26,8 @@
 class Fault(msgspec.Struct, frozen=True, order=True):
     """An error or a warning. A script with an error cannot be used; one with warnings can.
 
-    >>> print(Fault(Where("a.star", 3, 7), "a time is due, not 830", "write 830ms"))
-    a.star:3:7: a time is due, not 830; fix: write 830ms
+    >>> print(Fault(Where("a.star", 3, 7), "a time is expected, not 830", "write 830ms"))
+    a.star:3:7: a time is expected, not 830; fix: write 830ms
     """
 
     where: Where
--- a/hollystage/language/format.py
+++ b/hollystage/language/format.py
@@ -86,6 +86,7 @@
         self.loose: list[Token] = []  # comments above the next line, whose block is not known yet
 
     def lines(self) -> list[str]:
+        """All lines of the formatted file; the last is empty."""
         blank, start = 0, True
         while self.at < len(self.tokens):
             token = self.tokens[self.at]
@@ -110,6 +111,7 @@
         return self.out if len(self.out) > 1 else [""]
 
     def _gap(self, position: int) -> None:
+        """Marks a blank line between the pending comments."""
         self.loose.insert(position, Token("NEWLINE", "", 0, 0))
 
     def _blank(self) -> None:
@@ -136,6 +138,7 @@
         self.loose = []
 
     def _line(self) -> None:
+        """Formats the logical line at the current token."""
         indent = STEP * (len(self.columns) - 1)
         element, trailing_comment = Element(), ""
         last = self.tokens[self.at]
@@ -161,6 +164,7 @@
         self.out += [" " * indent + rows[0], *rows[1:]]
 
     def _group(self, before: list[Token | Group]) -> Group:
+        """Reads the brackets at the current token; `before` are the parts of the element that precede them."""
         opening = self.tokens[self.at]
         self.at += 1
         previous = before[-1] if before else None
@@ -228,6 +232,7 @@
 
 
 def _flat(parts: list[Token | Group]) -> str:
+    """The parts on one line."""
     pieces: list[str] = []
     before: Token | Group | None = None
     unary = False
@@ -253,18 +258,19 @@
     `tail` is the number of characters that will follow the last line. Brackets are expanded until all lines fit.
     """
     groups = [part for part in parts if isinstance(part, Group)]
-    exploded = {id(group) for group in groups if group.commented()}
+    expanded = {id(group) for group in groups if group.commented()}
     while True:
-        rows = _laid(parts, indent, exploded)
+        rows = _laid(parts, indent, expanded)
         longest = max(len(rows[0]) + indent, *(len(row) for row in rows)) + tail
-        rest = [group for group in groups if id(group) not in exploded and group.elements]
+        rest = [group for group in groups if id(group) not in expanded and group.elements]
         if longest <= WIDTH or not rest:
             return rows
         # expand the group with the longest text first: usually the arguments of the call
-        exploded.add(id(max(rest, key=lambda group: len(_flat_group(group)))))
+        expanded.add(id(max(rest, key=lambda group: len(_flat_group(group)))))
 
 
-def _laid(parts: list[Token | Group], indent: int, exploded: set[int]) -> list[str]:
+def _laid(parts: list[Token | Group], indent: int, expanded: set[int]) -> list[str]:
+    """The lines of the parts, with the groups whose ids are in `expanded` spread over several lines."""
     rows = [""]
     run: list[Token | Group] = []  # parts that go on the same line
 
@@ -272,7 +278,7 @@
         rows[-1] += _flat(run)
 
     for part in parts:
-        if not isinstance(part, Group) or id(part) not in exploded:
+        if not isinstance(part, Group) or id(part) not in expanded:
             run.append(part)
             continue
         # an empty group with the opening bracket, so that the space before it is chosen as usual
@@ -287,6 +293,7 @@
 
 
 def _exploded(group: Group, indent: int) -> list[str]:
+    """The lines between the brackets of an expanded group, one element per line."""
     rows: list[str] = []
     pad = " " * indent
     for index, element in enumerate(group.elements):
--- a/hollystage/language/layout.py
+++ b/hollystage/language/layout.py
@@ -67,44 +67,44 @@
     def statements(self) -> list[Statement]:
         """Reads all statements of the file and reports their errors."""
         statements: list[Statement] = []
-        at, end = 0, len(self.tokens)
-        while at < end:
-            if self.tokens[at].type == "NEWLINE":
-                at += 1
+        index, end = 0, len(self.tokens)
+        while index < end:
+            if self.tokens[index].type == "NEWLINE":
+                index += 1
                 continue
-            at = self._statement(at, statements)
+            index = self._statement(index, statements)
             self._tell()
         return statements
 
-    def _statement(self, at: int, statements: list[Statement]) -> int:
-        """Reads one statement from the token `at` on; returns the index of the next statement."""
-        out: Tokens = []
+    def _statement(self, index: int, statements: list[Statement]) -> int:
+        """Reads one statement from the token at `index`; returns the index of the next statement."""
+        output: Tokens = []
         is_valid, levels = True, [0]
-        first = self.tokens[at]
+        first = self.tokens[index]
         if first.column > 1:
             self.fault(first, "unexpected indentation of a top-level statement", "start it in column 1")
             is_valid = False
-        while at < len(self.tokens):
-            at, line_is_valid = self._line(at, out)
+        while index < len(self.tokens):
+            index, line_is_valid = self._line(index, output)
             is_valid &= line_is_valid
             # the logical line is complete; the next one decides whether the statement continues
-            while at < len(self.tokens) and self.tokens[at].type == "NEWLINE":
-                at += 1
-            self._newline(out)
-            opens = len(out) > 1 and out[-2].type == "COLON"
-            if at >= len(self.tokens):
-                if opens:
-                    self.fault(out[-2], "an empty block", "indent its lines by four spaces")
+            while index < len(self.tokens) and self.tokens[index].type == "NEWLINE":
+                index += 1
+            self._newline(output)
+            opens_block = len(output) > 1 and output[-2].type == "COLON"
+            if index >= len(self.tokens):
+                if opens_block:
+                    self.fault(output[-2], "an empty block", "indent its lines by four spaces")
                     is_valid = False
                 break
-            following = self.tokens[at]
+            following = self.tokens[index]
             column = following.column - 1
             if column == 0 and following.type not in ("ELIF", "ELSE"):
-                if opens:
-                    self.fault(out[-2], "an empty block", "indent its lines by four spaces")
+                if opens_block:
+                    self.fault(output[-2], "an empty block", "indent its lines by four spaces")
                     is_valid = False
                 break
-            if opens:
+            if opens_block:
                 if column <= levels[-1]:
                     self.fault(following, "an empty block", "indent its lines by four spaces")
                     is_valid = False
@@ -115,57 +115,58 @@
                     is_valid = False
                 else:
                     levels.append(column)
-                    out.append(Token("_INDENT", "", following.line, following.column))
+                    output.append(Token("_INDENT", "", following.line, following.column))
             elif column > levels[-1]:
-                if is_valid and self._header(out):
-                    self.fault(out[-1], "missing ':' at the end of a line that starts a block", "add ':'")
+                if is_valid and self._header(output):
+                    self.fault(output[-1], "missing ':' at the end of a line that starts a block", "add ':'")
                 elif is_valid:
                     self.fault(following, "indented more than the other lines of its block",
                                f"start it in column {levels[-1] + 1}")
                 is_valid = False
             while column < levels[-1]:
                 levels.pop()
-                out.append(Token("_DEDENT", "", following.line, following.column))
+                output.append(Token("_DEDENT", "", following.line, following.column))
                 if column > levels[-1]:
                     self.fault(following, "indentation that matches no enclosing block",
                                f"start it in column {levels[-1] + 1}")
                     is_valid = False
                     break
-        self._newline(out)
-        if out:
-            out += [Token("_DEDENT", "", out[-1].line, out[-1].column)] * (len(levels) - 1)
-            statements.append(Statement(out, is_valid))
-        return at
+        self._newline(output)
+        if output:
+            output += [Token("_DEDENT", "", output[-1].line, output[-1].column)] * (len(levels) - 1)
+            statements.append(Statement(output, is_valid))
+        return index
 
     @staticmethod
-    def _header(out: Tokens) -> bool:
+    def _header(output: Tokens) -> bool:
         """Whether the last line starts with a keyword that opens a block."""
-        start = len(out) - 1
-        while start > 0 and out[start - 1].type not in ("_NEWLINE", "_INDENT", "_DEDENT"):
+        start = len(output) - 1
+        while start > 0 and output[start - 1].type not in ("_NEWLINE", "_INDENT", "_DEDENT"):
             start -= 1
-        return out[start].type in ("IF", "ELIF", "ELSE", "FOR", "DEF")
+        return output[start].type in ("IF", "ELIF", "ELSE", "FOR", "DEF")
 
     @staticmethod
-    def _newline(out: Tokens) -> None:
-        if out and out[-1].type not in ("_NEWLINE", "_DEDENT"):
-            out.append(Token("_NEWLINE", "\n", out[-1].line, out[-1].column + len(out[-1].text)))
+    def _newline(output: Tokens) -> None:
+        if output and output[-1].type not in ("_NEWLINE", "_DEDENT"):
+            output.append(Token("_NEWLINE", "\n", output[-1].line, output[-1].column + len(output[-1].text)))
 
-    def _line(self, at: int, out: Tokens) -> tuple[int, bool]:
+    def _line(self, index: int, output: Tokens) -> tuple[int, bool]:
         """Reads a logical line, up to the newline outside all brackets; returns its end and whether it is valid."""
         opened: Tokens = []
-        is_valid, start, too_deep = True, len(out), False
-        while at < len(self.tokens):
-            token = self.tokens[at]
+        is_valid, start, too_deep = True, len(output), False
+        while index < len(self.tokens):
+            token = self.tokens[index]
             if token.type == "NEWLINE":
                 if not opened:
-                    return at, is_valid
-                at += 1
+                    return index, is_valid
+                index += 1
                 # if a new statement starts while a bracket is open, the closing bracket was probably forgotten
-                if at < len(self.tokens) and self._starts_anew(at) and not self._closes_later(at, len(opened)):
+                if index < len(self.tokens) and self._starts_anew(index) \
+                        and not self._closes_later(index, len(opened)):
                     self.fault(opened[-1], f"'{opened[-1]}' is never closed", f"add '{self._mate(opened[-1])}'")
-                    return at, False
+                    return index, False
                 continue
-            at += 1
+            index += 1
             if token.type in OPENING:
                 opened.append(token)
                 if len(opened) > BRACKETS:
@@ -187,41 +188,41 @@
                 is_valid = False
                 continue
             if not too_deep:
-                out.append(token)
+                output.append(token)
         if opened:
             self.fault(opened[-1], f"'{opened[-1]}' is never closed", f"add '{self._mate(opened[-1])}'")
             is_valid = False
-        if len(out) == start:
+        if len(output) == start:
             is_valid = False
-        return at, is_valid
+        return index, is_valid
 
     @staticmethod
     def _mate(token: Token) -> str:
         return {"(": ")", "[": "]", "{": "}"}[str(token)]
 
-    def _starts_anew(self, at: int) -> bool:
-        token = self.tokens[at]
+    def _starts_anew(self, index: int) -> bool:
+        token = self.tokens[index]
         if token.column > 1 or token.type not in STARTS:
             return False
         if token.type != "NAME":
             return True
-        return at + 1 < len(self.tokens) and self.tokens[at + 1].type in ("LPAR", "EQUAL")
+        return index + 1 < len(self.tokens) and self.tokens[index + 1].type in ("LPAR", "EQUAL")
 
-    def _closes_later(self, at: int, depth: int) -> bool:
+    def _closes_later(self, index: int, depth: int) -> bool:
         """Whether `depth` open brackets are closed before the next line that starts a statement."""
-        first = at
-        while at < len(self.tokens):
-            token = self.tokens[at]
+        first = index
+        while index < len(self.tokens):
+            token = self.tokens[index]
             if token.type in OPENING:
                 depth += 1
             elif token.type in CLOSING:
                 depth -= 1
                 if depth == 0:
                     return True
-            elif token.type == "NEWLINE" and at + 1 < len(self.tokens) and at > first \
-                    and self._starts_anew(at + 1):
+            elif token.type == "NEWLINE" and index + 1 < len(self.tokens) and index > first \
+                    and self._starts_anew(index + 1):
                 return False
-            at += 1
+            index += 1
         return False
 
     def _known(self, token: Token) -> bool:
--- a/hollystage/language/names.py
+++ b/hollystage/language/names.py
@@ -69,6 +69,7 @@
     # Definitions
 
     def _declare(self, node: Node, scope: Scope, top: bool) -> None:
+        """Adds the names that a statement defines to `scope`; `top` is True at the top level of the file."""
         match node:
             case tree.Assign():
                 for target in node.targets:
--- a/hollystage/language/syntax.py
+++ b/hollystage/language/syntax.py
@@ -272,6 +272,7 @@
         return nodes, result
 
     def _statement(self, tokens: list[Token]) -> Node:
+        """The node of a statement, from the cache of shapes if possible."""
         kinds = tuple(token.type for token in tokens)
         shape = self.shapes.get(kinds)
         if shape is None:
@@ -291,19 +292,22 @@
         node: Node = _filled(shape, tokens)
         return node
 
-    def _shape(self, part: Any, numbers: dict[int, int]) -> Shape:
+    def _shape(self, part: Any, indexes: dict[int, int]) -> Shape:
+        """The shape of a parse tree; `indexes` are the token indexes by the ids of the tokens."""
         if isinstance(part, Tree):
-            return getattr(self.builder, part.data), [self._shape(child, numbers) for child in part.children]
-        return numbers[id(part)] if part is not None else None
+            return getattr(self.builder, part.data), [self._shape(child, indexes) for child in part.children]
+        return indexes[id(part)] if part is not None else None
 
 
 def _filled(shape: Shape, tokens: list[Token]) -> Any:
+    """Builds the node of a shape from the tokens of a statement."""
     if isinstance(shape, tuple):
         return shape[0]([_filled(part, tokens) for part in shape[1]])
     return tokens[shape] if shape is not None else None
 
 
 def _explain(error: Any, tokens: list[Token], file: str, diagnostics: Faults) -> None:
+    """Reports an error of the parser, with the most specific message that fits."""
     token = error.token
     location = Where(file, token.line, token.column)
     before = next((one for one, other in zip(tokens, tokens[1:], strict=False) if other is token), None)
--- a/hollystage/language/units.py
+++ b/hollystage/language/units.py
@@ -170,11 +170,13 @@
 
 
 def _clumsy(text: str) -> tuple[bool, int, bool]:
+    """Sort key of a literal: no leading zero before short before whole."""
     number, = re.findall(r"^-?[0-9.]+", text)
     return number.startswith("0.") or number.startswith("-0."), len(number), "." in number
 
 
 def _decimal(value: Fraction) -> str | None:
+    """The value as an exact decimal number, or None if that needs more than 12 places."""
     rest = value.denominator
     for prime in (2, 5):
         while rest % prime == 0:
