--- a/hollystage/plan/__init__.py
+++ b/hollystage/plan/__init__.py
@@ -1,6 +1,6 @@
-"""What can be configured: the sections of a plan, how they are read, checked, compared and written down.
+"""The configuration of an instance: the sections of a plan, and how plans are read, checked, compared and stored.
 
-`sections` holds the schemas, one class a section; a subsystem that brings a section adds its class there (or
-registers one of its own) and no line of the language. Nothing here is imported by a running instance but
-`sections`, `model` and `compiled`; the language is needed only where a script is read.
+`sections` and `fleetwide` hold the schemas, one class for each section. A subsystem that needs a section adds its
+class there or registers one of its own; the language does not change. A running instance imports only `sections`,
+`fleetwide`, `model` and `compiled`. The language is imported only where a script is read.
 """
--- a/hollystage/plan/check.py
+++ b/hollystage/plan/check.py
@@ -1,4 +1,4 @@
-"""What must hold between the entries of a plan: names that exist, routes that are reached, shares that add up."""
+"""Checks between the entries of a plan: references, unreachable routes, sums of shares, implausible times."""
 from __future__ import annotations
 
 from collections.abc import Iterator
@@ -11,29 +11,40 @@
 from .model import Plan
 from .sections import Section
 
-Places = list[tuple[Where, dict[str, Where]]]
-APART = 50  # times the median of its fellows: a time of another order, most likely of another unit
+Places = list[tuple[Where, dict[str, Where]]]  # of each entry: its own location, and that of each key
+APART = 50  # a time further from the median of its key is most likely written in another unit
+# key -> the section whose entries it names
 REFERENCES = {"method": "method", "tenant": "tenant", "ledger": "ledger", "pool": "pool", "heir": "pool",
               "methods": "method"}
 
 
-def check(plan: Plan, places: Places, broken: set[tuple[str, str]], unread: set[str], faults: Faults) -> None:
-    """Adds all that is wrong to `faults`; `broken` are entries that exist but could not be read, `unread` words
-    of statements that could not: what they would have brought is not called missing."""
-    _Checker(plan, places, broken, unread, faults).run()
+def check(plan: Plan, locations: Places, unreadable: set[tuple[str, str]], unparsed_names: set[str],
+          diagnostics: Faults) -> None:
+    """Adds every problem between the entries of the plan to `diagnostics`.
+
+    Args:
+        locations: of the entries of the plan, in their order.
+        unreadable: section and name of entries that exist in the script but could not be converted. References to
+            them are valid.
+        unparsed_names: names in statements that could not be parsed. What these statements may have defined is not
+            reported as missing.
+    """
+    _Checker(plan, locations, unreadable, unparsed_names, diagnostics).run()
 
 
 class _Checker:
-    def __init__(self, plan: Plan, places: Places, broken: set[tuple[str, str]], unread: set[str],
-                 faults: Faults) -> None:
-        self.plan, self.faults, self.unread = plan, faults, unread
-        self.rows = [(entry.value, *place) for entry, place in zip(plan.entries, places, strict=True)]
-        self.names: dict[str, set[str]] = {}
-        for value, _, _ in self.rows:
-            self.names.setdefault(value.word, set()).add(value.title())
-        for word, name in broken:
-            self.names.setdefault(word, set()).add(name)
-        self.used: set[tuple[str, str]] = set()
+    """One check of one plan."""
+
+    def __init__(self, plan: Plan, locations: Places, unreadable: set[tuple[str, str]], unparsed_names: set[str],
+                 diagnostics: Faults) -> None:
+        self.plan, self.faults, self.unread = plan, diagnostics, unparsed_names
+        self.rows = [(entry.value, *location) for entry, location in zip(plan.entries, locations, strict=True)]
+        self.names: dict[str, set[str]] = {}  # section -> names of its entries
+        for section, _, _ in self.rows:
+            self.names.setdefault(section.word, set()).add(section.title())
+        for section_name, name in unreadable:
+            self.names.setdefault(section_name, set()).add(name)
+        self.used: set[tuple[str, str]] = set()  # section and name of what an entry refers to
 
     def run(self) -> None:
         self._references()
@@ -45,168 +56,191 @@
         self._budgets()
         self._unused()
 
-    def _tell(self, where: Where, what: str, fix: str, warn: bool = False) -> None:
-        self.faults.add(where, what, fix, "warning" if warn else "error")
+    def _tell(self, location: Where, message: str, fix: str, is_warning: bool = False) -> None:
+        self.faults.add(location, message, fix, "warning" if is_warning else "error")
 
     def _of(self, kind: type[Section]) -> Iterator[tuple[Section, Where, dict[str, Where]]]:
         return (row for row in self.rows if isinstance(row[0], kind))
 
     def _references(self) -> None:
-        """A plan that says nothing of methods or tenants leaves them to the platform's JSON."""
-        for value, where, at in self.rows:
-            for key, word in REFERENCES.items():
-                named = getattr(value, key, None)
-                if named is None or key == value.word:
+        """Reports references to entries that do not exist.
+
+        A plan without any method (or tenant) leaves them to the platform's JSON, so references to them are not
+        checked here.
+        """
+        for section, location, key_locations in self.rows:
+            for key, target in REFERENCES.items():
+                reference = getattr(section, key, None)
+                if reference is None or key == section.word:
                     continue
-                for name in named if isinstance(named, list) else [named]:
-                    known = self.names.get(word, set())
-                    if word in ("method", "tenant") and not known:
+                for name in reference if isinstance(reference, list) else [reference]:
+                    known = self.names.get(target, set())
+                    if target in ("method", "tenant") and not known:
                         continue
-                    self.used.add((word, name))
+                    self.used.add((target, name))
                     if name not in known:
                         close = nearest(name, known)
-                        self._tell(at.get(key, where), f'the {word} "{name}" does not exist',
-                                   f'write "{close}"' if close else f'add {word}("{name}", ...)')
+                        self._tell(key_locations.get(key, location), f'the {target} "{name}" does not exist',
+                                   f'write "{close}"' if close else f'add {target}("{name}", ...)')
 
     def _routes(self) -> None:
-        """The first that matches counts; linear in their number, whatever they say."""
+        """Reports duplicate, conflicting and unreachable routes: the first route that matches an RPC is used.
+
+        Takes time linear in the number of routes, whatever they match.
+        """
         exact: dict[tuple[str | None, ...], tuple[sections.Route, Where]] = {}
-        starts: dict[tuple[str | None, str | None], dict[str, Where]] = {}
-        for value, where, at in self._of(sections.Route):
-            assert isinstance(value, sections.Route)
-            first = exact.get((value.method, value.tenant, value.object))
-            place = at.get("object", at.get("method", at.get("tenant", where)))
+        prefixes: dict[tuple[str | None, str | None], dict[str, Where]] = {}
+        for section, location, key_locations in self._of(sections.Route):
+            assert isinstance(section, sections.Route)
+            first = exact.get((section.method, section.tenant, section.object))
+            place = key_locations.get("object", key_locations.get("method", key_locations.get("tenant", location)))
             if first is not None:
-                same = (first[0].pool, first[0].ledger) == (value.pool, value.ledger)
-                self._tell(place, f"a route that says the same as that of {first[1].file}:{first[1].line}" if same
-                           else f"a route that clashes with that of {first[1].file}:{first[1].line}: both match "
-                           f"{value.title()}", "remove one")
+                same = (first[0].pool, first[0].ledger) == (section.pool, section.ledger)
+                self._tell(place, f"a duplicate of the route at {first[1].file}:{first[1].line}" if same
+                           else f"a route that conflicts with the one at {first[1].file}:{first[1].line}: both match "
+                           f"{section.title()}", "remove one")
                 continue
-            over = self._covered(value, starts)
-            if over is not None:
-                self._tell(place, f"a route that none can reach: that of {over.file}:{over.line} matches all of it",
-                           "move it further up, or remove it")
-            exact[value.method, value.tenant, value.object] = value, where
-            start = "" if value.object is None else value.object
-            if value.object is None or value.object.endswith("*"):
-                starts.setdefault((value.method, value.tenant), {}).setdefault(start.rstrip("*"), where)
+            covering = self._covered(section, prefixes)
+            if covering is not None:
+                self._tell(place, f"an unreachable route: the one at {covering.file}:{covering.line} covers it",
+                           "move it above that route, or remove it")
+            exact[section.method, section.tenant, section.object] = section, location
+            prefix = "" if section.object is None else section.object
+            if section.object is None or section.object.endswith("*"):
+                prefixes.setdefault((section.method, section.tenant), {}).setdefault(prefix.rstrip("*"), location)
 
     @staticmethod
-    def _covered(route: sections.Route, starts: dict[tuple[str | None, str | None], dict[str, Where]]
+    def _covered(route: sections.Route, prefixes: dict[tuple[str | None, str | None], dict[str, Where]]
                  ) -> Where | None:
-        start = (route.object or "").rstrip("*")
+        """Location of an earlier route that matches everything that `route` matches, or None."""
+        prefix = (route.object or "").rstrip("*")
         for method in {route.method, None}:
             for tenant in {route.tenant, None}:
-                known = starts.get((method, tenant))
+                known = prefixes.get((method, tenant))
                 if known is None:
                     continue
-                for length in range(len(start) + 1):
-                    if start[:length] in known:
-                        return known[start[:length]]
+                for length in range(len(prefix) + 1):
+                    if prefix[:length] in known:
+                        return known[prefix[:length]]
         return None
 
     def _shares(self) -> None:
+        """The guaranteed shares of all pools and the reserve must not exceed the whole."""
         total, last = 0.0, None
-        for value, where, at in self._of(sections.Pool):
-            assert isinstance(value, sections.Pool)
-            total, last = total + value.guaranteed, at.get("guaranteed", where)
+        for section, location, key_locations in self._of(sections.Pool):
+            assert isinstance(section, sections.Pool)
+            total, last = total + section.guaranteed, key_locations.get("guaranteed", location)
         reserve = next(self._of(sections.Reserve), None)
         if reserve is not None and isinstance(reserve[0], sections.Reserve):
             total += reserve[0].running
             last = reserve[2].get("running", last or reserve[1])
         if total > 1 + 1e-9 and last is not None:
-            self._tell(last, f"pools and reserve together have {round(total * 100, 3):g}% guaranteed",
-                       "let them add up to 100% at most")
+            self._tell(last, f"pools and reserve guarantee {round(total * 100, 3):g}% in total",
+                       "reduce them to 100% or less in total")
 
     def _pools(self) -> None:
+        """Reports methods that are in two pools, and pools whose heirs form a cycle."""
         owner: dict[str, str] = {}
         heirs: dict[str, str] = {}
-        for value, where, at in self._of(sections.Pool):
-            assert isinstance(value, sections.Pool)
-            for method in value.methods:
+        for section, location, key_locations in self._of(sections.Pool):
+            assert isinstance(section, sections.Pool)
+            for method in section.methods:
                 if method in owner:
-                    self._tell(at.get("methods", where), f'the method "{method}" is in the pool "{owner[method]}" '
-                               "already", "name it in one pool")
-                owner.setdefault(method, value.name)
-            if value.heir is not None:
-                heirs[value.name] = value.heir
-        for value, where, at in self._of(sections.Pool):
-            name, seen = value.title(), set()
+                    self._tell(key_locations.get("methods", location), f'the method "{method}" is already in the '
+                               f'pool "{owner[method]}"', "list it in one pool only")
+                owner.setdefault(method, section.name)
+            if section.heir is not None:
+                heirs[section.name] = section.heir
+        for section, location, key_locations in self._of(sections.Pool):
+            name, seen = section.title(), set()
             while name in heirs and name not in seen:
                 seen.add(name)
                 name = heirs[name]
-            if name == value.title() and len(seen) > 1:
-                self._tell(at.get("heir", where), f"pools that inherit from each other: {' -> '.join(sorted(seen))}",
-                           "name an heir outside the circle")
+            if name == section.title() and len(seen) > 1:
+                self._tell(key_locations.get("heir", location), f"a cycle of heirs: {' -> '.join(sorted(seen))}",
+                           "name an heir outside the cycle")
 
     def _times(self) -> None:
-        """Guards against 2100s among 2s: each alone is allowed, beside its fellows it is not."""
+        """Reports times far from the median of their key over all methods.
+
+        A deadline of 2100s is within the bounds of the key. Among methods with deadlines of a few seconds it is most
+        likely a mistake for 2.1s.
+        """
         for key in ("target", "deadline", "window"):
-            rows = [(getattr(value, key), where, at) for value, where, at in self._of(sections.Method)
-                    if getattr(value, key)]
+            rows = [(getattr(section, key), location, key_locations)
+                    for section, location, key_locations in self._of(sections.Method) if getattr(section, key)]
             if len(rows) < 3:
                 continue
             middle = median(amount for amount, _, _ in rows)
-            for amount, where, at in rows:
+            for amount, location, key_locations in rows:
                 if amount > APART * middle or amount * APART < middle:
-                    meant = next((factor for factor in (Fraction(1, 1000), Fraction(1000), Fraction(1, 60),
-                                                        Fraction(60), Fraction(1, 10 ** 6), Fraction(10 ** 6))
-                                  if middle / 10 <= amount * factor <= middle * 10), None)
-                    fix = f"write {_time(amount * meant)}" if meant else "check its unit"
-                    self._tell(at.get(key, where), f"a {key} of {_time(Fraction(amount))} among methods with "
-                               f"{_time(Fraction(middle))}", fix)
+                    likely = next((factor for factor in (Fraction(1, 1000), Fraction(1000), Fraction(1, 60),
+                                                         Fraction(60), Fraction(1, 10 ** 6), Fraction(10 ** 6))
+                                   if middle / 10 <= amount * factor <= middle * 10), None)
+                    fix = f"write {_time(amount * likely)}" if likely else "check its unit"
+                    self._tell(key_locations.get(key, location), f"a {key} of {_time(Fraction(amount))}, while the "
+                               f"median over all methods is {_time(Fraction(middle))}", fix)
 
     def _whole(self) -> None:
-        """A plan that describes a machine describes all of it; one that does not adds to the platform's JSON."""
-        words = ("machine", "rules", "method")
-        there = [word for word in words if word in self.names]
-        if there and len(there) < len(words):
-            lacking = [word for word in words if word not in there]
-            where = next((where for value, where, _ in self.rows if value.word in there), None)
-            if where is not None and not self.unread.intersection(lacking):
-                self._tell(where, f"{' and '.join(there)} without {' and '.join(lacking)}",
-                           f"add {' and '.join(f'{word}(...)' for word in lacking)}")
+        """Checks that machine, rules and methods come together, and that every ceiling allows at least one core.
+
+        A plan that describes a machine describes it completely. A plan with none of the three adds to the settings in
+        the platform's JSON.
+        """
+        required = ("machine", "rules", "method")
+        present = [name for name in required if name in self.names]
+        if present and len(present) < len(required):
+            missing = [name for name in required if name not in present]
+            location = next((location for section, location, _ in self.rows if section.word in present), None)
+            if location is not None and not self.unread.intersection(missing):
+                self._tell(location, f"{' and '.join(present)} without {' and '.join(missing)}",
+                           f"add {' and '.join(f'{name}(...)' for name in missing)}")
         machine = next(self._of(sections.Machine), None)
         if machine is None or not isinstance(machine[0], sections.Machine):
             return
-        for value, where, at in self._of(sections.Pool):
-            if isinstance(value, sections.Pool) and value.ceiling * machine[0].cores < 1:
-                self._tell(at.get("ceiling", where), f"a ceiling of less than one of {machine[0].cores} cores",
+        for section, location, key_locations in self._of(sections.Pool):
+            if isinstance(section, sections.Pool) and section.ceiling * machine[0].cores < 1:
+                self._tell(key_locations.get("ceiling", location),
+                           f"a ceiling of less than one of {machine[0].cores} cores",
                            f"write {-(-100 // machine[0].cores)}% or more")
 
     def _budgets(self) -> None:
-        """What is divided needs somebody to talk to, and floors that fit into the whole."""
-        fleet = next((value for value, _, _ in self._of(sections.Fleet)), None)
-        talks = isinstance(fleet, sections.Fleet) and fleet.bind is not None
+        """A budget needs a fleet whose instances communicate, leases, and floors that fit into its total."""
+        fleet = next((section for section, _, _ in self._of(sections.Fleet)), None)
+        communicates = isinstance(fleet, sections.Fleet) and fleet.bind is not None
         seen: dict[str, str] = {}
-        for value, where, at in self._of(fleetwide.Budget):
-            assert isinstance(value, fleetwide.Budget)
-            if value.of in seen:
-                self._tell(at.get("of", where), f'a second budget of {value.of}, beside "{seen[value.of]}"',
-                           "remove one")
-            seen.setdefault(value.of, value.name)
-            if not talks and "fleet" not in self.unread:
-                self._tell(where, "a budget of instances that do not talk", "add fleet(bind = ..., key = ...)")
+        for section, location, key_locations in self._of(fleetwide.Budget):
+            assert isinstance(section, fleetwide.Budget)
+            if section.of in seen:
+                self._tell(key_locations.get("of", location),
+                           f'a second budget of {section.of}; the first one is "{seen[section.of]}"', "remove one")
+            seen.setdefault(section.of, section.name)
+            if not communicates and "fleet" not in self.unread:
+                self._tell(location, "a budget for instances that do not communicate",
+                           "add fleet(bind = ..., key = ...)")
             if "leases" not in self.names and "leases" not in self.unread:
-                self._tell(where, "a budget that nobody divides", "add leases(voters = [...])")
-            most = value.most or (fleet.instances if isinstance(fleet, sections.Fleet) else 1)
-            if value.floor * most > value.whole:
-                self._tell(at.get("floor", where), f"floors of {value.floor} for {most} instances are more than the "
-                           f"whole of {value.whole}", f"write {value.whole // most}, or fewer with most = ...")
-        for _, where, _ in self._of(fleetwide.Leases):
+                self._tell(location, "a budget without leases: no instance may allocate it",
+                           "add leases(voters = [...])")
+            most = section.most or (fleet.instances if isinstance(fleet, sections.Fleet) else 1)
+            if section.floor * most > section.whole:
+                self._tell(key_locations.get("floor", location), f"floors of {section.floor} for {most} instances "
+                           f"exceed the whole of {section.whole}", f"write {section.whole // most}, or a lower most")
+        for _, location, _ in self._of(fleetwide.Leases):
             if not seen and "budget" not in self.unread:
-                self._tell(where, "voters with nothing to vote on", "add budget(...), or remove it", True)
+                self._tell(location, "leases without a budget", "add budget(...), or remove it", True)
 
     def _unused(self) -> None:
+        """Warns of ledgers and pools that receive nothing. The first ledger is the default and needs no route."""
         if "route" in self.unread:
             return
-        ledgers = [(value, where) for value, where, _ in self._of(sections.Ledger)]
-        for value, where in ledgers[1:]:
-            if ("ledger", value.title()) not in self.used:
-                self._tell(where, f'no route leads to the ledger "{value.title()}"', "add one, or remove it", True)
-        for value, where, _ in self._of(sections.Pool):
-            if isinstance(value, sections.Pool) and not value.methods and ("pool", value.name) not in self.used:
-                self._tell(where, f'nothing goes to the pool "{value.name}"', "give it methods or a route", True)
+        ledgers = [(section, location) for section, location, _ in self._of(sections.Ledger)]
+        for section, location in ledgers[1:]:
+            if ("ledger", section.title()) not in self.used:
+                self._tell(location, f'no route leads to the ledger "{section.title()}"',
+                           "add a route, or remove the ledger", True)
+        for section, location, _ in self._of(sections.Pool):
+            if isinstance(section, sections.Pool) and not section.methods and ("pool", section.name) not in self.used:
+                self._tell(location, f'the pool "{section.name}" receives no RPCs', "add methods or a route", True)
 
 
 def _time(amount: Fraction) -> str:
--- a/hollystage/plan/compare.py
+++ b/hollystage/plan/compare.py
@@ -1,4 +1,4 @@
-"""What two plans mean differently: by entry and key, with the line each change comes from."""
+"""Compares two plans by meaning, and writes a plan as a script."""
 from __future__ import annotations
 
 from collections import Counter
@@ -13,7 +13,15 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """`before` is None for what is new, `after` for what is gone; `live`: SIGHUP takes it."""
+    """One difference between two plans.
+
+    Attributes:
+        section, name, key: what differs; `key` is empty where a whole entry was added or removed, and "order" where
+            entries changed places.
+        before, after: values as a script writes them; `before` is None for an added entry, `after` for a removed one.
+        origin: "file:line:column" in the new plan, for a removed entry in the old one.
+        reloadable: whether SIGHUP applies the change; otherwise it needs a restart.
+    """
 
     section: str
     name: str
@@ -24,27 +32,31 @@
     live: bool
 
     def __str__(self) -> str:
-        what = f"{self.section} {self.name}".strip() + (f": {self.key}" if self.key else "")
+        subject = f"{self.section} {self.name}".strip() + (f": {self.key}" if self.key else "")
         if self.before is None:
-            said = f"{what} is new" + (f" ({self.after})" if self.after else "")
+            change = f"{subject} is new" + (f" ({self.after})" if self.after else "")
         elif self.after is None:
-            said = f"{what} is gone" + (f" (was {self.before})" if self.before else "")
+            change = f"{subject} is removed" + (f" (was {self.before})" if self.before else "")
         else:
-            said = f"{what} was {self.before}, is {self.after}"
-        return f"{self.origin}: {said}; {'SIGHUP takes it' if self.live else 'needs a restart'}"
+            change = f"{subject} was {self.before}, is {self.after}"
+        return f"{self.origin}: {change}; {'SIGHUP applies it' if self.live else 'needs a restart'}"
 
 
 def compare(old: Plan, new: Plan) -> list[Change]:
-    """In the order of the new plan, then what is gone. Empty where both mean the same."""
+    """Returns the changes in the order of the new plan, then the removed entries, then changes of order.
+
+    The list is empty where both plans mean the same: 2s and 2000ms are equal, and so are a default and the same value
+    written out.
+    """
     before, after = _keyed(old), _keyed(new)
     changes: list[Change] = []
     for key, entry in after.items():
-        earlier = before.get(key)
-        if earlier is None:
+        old_entry = before.get(key)
+        if old_entry is None:
             changes.append(Change(key[0], key[1], "", None, _summary(entry.value), entry.origin,
                                   bool(entry.value.live)))
         else:
-            changes += _within(key, earlier, entry)
+            changes += _within(key, old_entry, entry)
     for key, entry in before.items():
         if key not in after:
             changes.append(Change(key[0], key[1], "", _summary(entry.value), None, entry.origin,
@@ -54,12 +66,13 @@
 
 
 def _keyed(plan: Plan) -> dict[tuple[str, str, int], Entry]:
+    """Entries by section, title and position among the entries with the same section and title."""
     found: dict[tuple[str, str, int], Entry] = {}
-    count: Counter[tuple[str, str]] = Counter()
+    counts: Counter[tuple[str, str]] = Counter()
     for entry in plan.entries:
         name = entry.value.word, entry.value.title() if entry.value.many else ""
-        found[*name, count[name]] = entry
-        count[name] += 1
+        found[*name, counts[name]] = entry
+        counts[name] += 1
     return found
 
 
@@ -76,22 +89,26 @@
 
 def _orders(old: Plan, new: Plan, before: dict[tuple[str, str, int], Entry],
             after: dict[tuple[str, str, int], Entry]) -> list[Change]:
-    """Where the order counts (methods and tenants are numbered by it, of routes the first counts)."""
+    """Changes of order in the sections where order matters.
+
+    Methods and tenants are numbered by it, the first matching route is used, and the first ledger and listener are
+    the ones that the instance uses. One change for each section names the first entry that moved.
+    """
     changes = []
-    for word in ("method", "tenant", "route", "ledger", "listener"):
-        common = [key for key in before if key[0] == word and key in after]
-        now = [key for key in after if key[0] == word and key in before]
-        first = next((b for a, b in zip(common, now, strict=True) if a != b), None)
+    for section_name in ("method", "tenant", "route", "ledger", "listener"):
+        old_order = [key for key in before if key[0] == section_name and key in after]
+        new_order = [key for key in after if key[0] == section_name and key in before]
+        first = next((b for a, b in zip(old_order, new_order, strict=True) if a != b), None)
         if first is not None:
             entry = after[first]
-            changes.append(Change(word, first[1], "order", "further down", "further up", entry.origin,
+            changes.append(Change(section_name, first[1], "order", "further down", "further up", entry.origin,
                                   bool(entry.value.live)))
     return changes
 
 
 def shown(value: Section, field: str) -> str:
-    """One key's value as a script would write it."""
-    from .read import keys  # the units stand in the schema
+    """Returns the value of one key as a script writes it."""
+    from .read import keys  # gives the unit of each key; imports the language, which only this function needs
 
     return _shown(getattr(value, field), str(keys(type(value))[field].hint))
 
@@ -119,20 +136,23 @@
 
 
 def script(plan: Plan) -> str:
-    """The plan as one script that means the same, with nothing left to compute."""
+    """Returns a script that means the same as the plan, with every expression, loop and load evaluated.
+
+    Keys that have their default value are left out.
+    """
     from ..language.format import formatted
 
     rows = []
     for entry in plan.entries:
         value = entry.value
-        given = []
+        arguments = []
         for field, default in zip(value.__struct_fields__[::-1],
                                   [*value.__struct_defaults__[::-1]] + [msgspec.NODEFAULT] * 99, strict=False):
-            known = default() if callable(default) else default
+            default_value = default() if callable(default) else default
             if hasattr(default, "factory"):
-                known = default.factory()
-            if known is msgspec.NODEFAULT or getattr(value, field) != known:
+                default_value = default.factory()
+            if default_value is msgspec.NODEFAULT or getattr(value, field) != default_value:
                 name = "" if field in value.positional else f"{field} = "
-                given.append(name + shown(value, field))
-        rows.append(f"{value.word}({', '.join(given[::-1])})")
+                arguments.append(name + shown(value, field))
+        rows.append(f"{value.word}({', '.join(arguments[::-1])})")
     return formatted("\n".join(rows) + "\n", "plan") if rows else ""
--- a/hollystage/plan/compiled.py
+++ b/hollystage/plan/compiled.py
@@ -1,7 +1,7 @@
-"""A compiled plan: what `config build` writes and `serve` reads without the language in memory.
+"""Compiled plans: files that `config build` writes and `serve` reads without importing the language.
 
-A head line with the form's version and the kind of digest, the digest of the body, the body in msgpack. A plain
-digest tells damage; a keyed one tells whether someone who has the key built it.
+A file is a header line and a msgpack body. The header holds the format version, the kind of digest and the digest of
+the body. A plain BLAKE3 digest detects damage; a keyed one also proves that a holder of the key built the file.
 """
 from __future__ import annotations
 
@@ -14,29 +14,31 @@
 from .model import Plan, packed, unpacked
 
 FORM, MAGIC = 2, b"hollystage-plan"
-LARGEST = 64 << 20
+LARGEST = 64 << 20  # bytes of a compiled plan
 KEY_SIZE = 32
 
 
 class Damaged(ValueError):
-    """A file that is no compiled plan that can be used; the message says why."""
+    """A compiled plan or a key file cannot be used; the message says why."""
 
 
 class Body(msgspec.Struct):
+    """The body of a compiled plan, encoded by field names; `rows` are those of `to_rows`."""
+
     built_by: str
     files: list[str]
     rows: list[tuple[str, dict[str, object], str, dict[str, str]]]
 
 
 def read_key(path: str) -> bytes:
-    """A key file: at least 32 bytes, readable by its owner alone.
+    """Reads a key file and derives a 32-byte key from its content.
 
     Raises:
-        Damaged: it cannot be used.
+        UnusableFileError: it cannot be read, is shorter than 32 bytes, or others than its owner can read it.
     """
     try:
         if stat.S_IMODE(os.stat(path).st_mode) & 0o077:
-            raise Damaged(f"{path} can be read by others than its owner: set its mode to 600")
+            raise Damaged(f"{path} is accessible to users other than its owner: set its mode to 600")
         with open(path, "rb") as file:
             data = file.read(4096)
     except OSError as bad:
@@ -47,12 +49,14 @@
 
 
 def digest(data: bytes, key: bytes | None) -> bytes:
-    from blake3 import blake3  # only where a plan is read or built
+    """The BLAKE3 digest of `data`, keyed with `key` unless that is None."""
+    from blake3 import blake3  # imported only where a plan or a key is read or built
 
     return blake3(data, key=key).digest() if key is not None else blake3(data).digest()
 
 
 def dump(plan: Plan, version: str, key: bytes | None = None) -> bytes:
+    """Encodes a plan, with a keyed digest if there is a key. `version` is that of the program which builds it."""
     body = msgspec.msgpack.encode(Body(version, plan.files, packed(plan)))
     kind = b"keyed" if key is not None else b"plain"
     return b"%s %d %s %s\n" % (MAGIC, FORM, kind, digest(body, key).hex().encode()) + body
@@ -63,24 +67,26 @@
 
 
 def parse(data: bytes, key: bytes | None = None) -> Plan:
-    """
+    """Decodes a compiled plan after its digest was verified.
+
     Raises:
-        Damaged: cut short, altered, of another form or, with a key, not built with it.
+        UnusableFileError: truncated, altered, of another format version, with a keyed digest although no key is
+            given, or not built with the given key.
     """
-    head, newline, body = data.partition(b"\n")
-    words = head.split(b" ")
-    if len(words) != 4 or words[0] != MAGIC or not newline or not words[1].isdigit():
-        raise Damaged("no compiled plan: its head cannot be read")
-    if int(words[1]) != FORM:
-        raise Damaged(f"a compiled plan of form {int(words[1])}, this version reads form {FORM}: build it anew")
-    if words[2] not in (b"keyed", b"plain"):
-        raise Damaged("no compiled plan: its head cannot be read")
-    if words[2] == b"keyed" and key is None:
-        raise Damaged("a compiled plan with a keyed digest: name the key file")
-    if words[2] != b"keyed" and key is not None:
+    header, newline, body = data.partition(b"\n")
+    fields = header.split(b" ")
+    if len(fields) != 4 or fields[0] != MAGIC or not newline or not fields[1].isdigit():
+        raise Damaged("not a compiled plan: its header cannot be read")
+    if int(fields[1]) != FORM:
+        raise Damaged(f"a compiled plan of format {int(fields[1])}, this version reads format {FORM}: build it again")
+    if fields[2] not in (b"keyed", b"plain"):
+        raise Damaged("not a compiled plan: its header cannot be read")
+    if fields[2] == b"keyed" and key is None:
+        raise Damaged("a compiled plan with a keyed digest: specify the key file")
+    if fields[2] != b"keyed" and key is not None:
         raise Damaged("a compiled plan without a keyed digest: build it with the key")
-    if not hmac.compare_digest(digest(body, key if words[2] == b"keyed" else None).hex().encode(), words[3]):
-        raise Damaged("a compiled plan whose digest is wrong: cut short, altered or built with another key")
+    if not hmac.compare_digest(digest(body, key if fields[2] == b"keyed" else None).hex().encode(), fields[3]):
+        raise Damaged("a compiled plan whose digest is wrong: truncated, altered or built with another key")
     try:
         content = msgspec.msgpack.decode(body, type=Body)
         return unpacked(content.rows, content.files)
--- a/hollystage/plan/fleetwide.py
+++ b/hollystage/plan/fleetwide.py
@@ -1,4 +1,4 @@
-"""The sections for what belongs to the whole fleet: who votes on who acts for all, and what is divided."""
+"""Sections that concern the whole fleet: the voters of leases, and the budgets that instances share."""
 from __future__ import annotations
 
 from collections.abc import Iterator
@@ -14,9 +14,9 @@
 
 
 class Leases(Section, frozen=True):
-    """Who votes on who acts for the whole fleet, and for how long; clocks may run apart by `drift`.
+    """The voters of all leases, the duration of a lease (`length`), and how far clocks may drift apart (`drift`).
 
-    A change adds one voter or takes one away: `before` are those of the generation before.
+    A change adds one voter or removes one; `before` are the voters of the previous generation.
     """
 
     word = "leases"
@@ -28,20 +28,26 @@
 
     def troubles(self) -> Iterator[Trouble]:
         if not self.voters or len(set(self.voters)) < len(self.voters):
-            yield "voters", "no voters, or one of them twice", "name 3, 5 or 7 instances"
+            yield "voters", "no voters, or a voter listed twice", "name 3, 5 or 7 instances"
         if self.before and len(set(self.before) ^ set(self.voters)) != 1:
-            yield "before", "voters that differ by more than one", "change one at a time, each by a generation"
+            yield "before", "voters that differ from before by more than one", (
+                "add or remove one voter at a time, each in a generation of its own")
         if bool(self.before) != bool(self.generation):
-            yield "generation", "a first generation with others before it, or a later one without", (
-                "raise it by one and name those before, or leave out both")
+            yield "generation", "only one of generation and before", (
+                "increase generation by one and list the previous voters in before, or leave out both")
 
 
 class Budget(Section, frozen=True):
-    """A quantity that belongs to the whole fleet: what all may have in use at once.
-
-    `floor`: what each has with nobody to ask; `most`: instances that may be there at one time, those of a rolling
-    deploy counted (all of `fleet` where it is not told); `use`: the longest that one use lasts below, also after our
-    side gave up on it (the longest deadline where it is not told); `kept`: share kept back for who joins.
+    """A quantity that the whole fleet shares, such as concurrent calls to a dependency: `whole` units in use at once.
+
+    Attributes:
+        of: what the units are.
+        floor: units that each instance may use without a grant.
+        most: instances that may run at the same time, including those of a rolling deployment (default: the
+            instances of `fleet`).
+        use: longest time in microseconds that one use lasts at the dependency, including the time after this side
+            gave up on it (default: the longest deadline, plus the time that abandoned calls linger).
+        kept: share of the units that is kept back for instances that join.
     """
 
     word, positional, many = "budget", ("name",), True
--- a/hollystage/plan/model.py
+++ b/hollystage/plan/model.py
@@ -1,4 +1,4 @@
-"""A plan: its entries by section, each with the place it came from; and its form in the platform's words."""
+"""A plan: its entries with their origins, its translation to the platform's JSON, and its form as plain data."""
 from __future__ import annotations
 
 from collections.abc import Iterator
@@ -11,12 +11,15 @@
 from .sections import SECTIONS, Section
 
 S = TypeVar("S", bound=Section)
-KIND_WORDS = {kind.value: word for word, kind in KINDS.items()}
-GAUGE_WORDS = {ours: theirs for theirs, ours in GAUGES.items()}
+KIND_WORDS = {kind.value: platform_name for platform_name, kind in KINDS.items()}
+GAUGE_WORDS = {plan_name: platform_name for platform_name, plan_name in GAUGES.items()}
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """One entry; `origin` is "file:line:column", `origins` that of each key that was written."""
+    """One entry: its section with values, and where it was written.
+
+    `origin` is "file:line:column"; `origins` is that of each key that the script sets.
+    """
 
     value: Section
     origin: str
@@ -27,21 +30,23 @@
     """Entries in the order in which they were written."""
 
     entries: list[Entry] = []
-    files: list[str] = []  # that it was made of, the root first
+    files: list[str] = []  # the script and the files that it loads, the script first
 
     def of(self, kind: type[S]) -> list[S]:
+        """All entries of a section, in the order of the plan."""
         return [entry.value for entry in self.entries if isinstance(entry.value, kind)]
 
     def one(self, kind: type[S]) -> S | None:
+        """The first entry of a section, or None."""
         found = self.of(kind)
         return found[0] if found else None
 
     def idle(self) -> list[str]:
-        """The sections that stand in the plan and that this version does not go by."""
+        """The names of sections in the plan that this version checks but does not use."""
         return sorted({entry.value.word for entry in self.entries if not entry.value.acts})
 
     def configuration(self) -> dict[str, Any]:
-        """What the plan says of the keys of the platform's JSON; only those that it says."""
+        """The plan in the keys of the platform's JSON, without keys that the plan does not set."""
         return {key: value for key, value in self._keys() if value is not None}
 
     def _keys(self) -> Iterator[tuple[str, Any]]:
@@ -63,7 +68,10 @@
         yield "settings", self.settings()
 
     def settings(self) -> dict[str, Any] | None:
-        """The deployment as the platform's JSON has it; None where the plan says nothing of the machine."""
+        """The value of `settings` in the platform's JSON, or None if the plan does not describe the machine.
+
+        `Deployment` (hollystage.settings) is its schema.
+        """
         machine, rules, methods = self.one(sections.Machine), self.one(sections.Rules), self.of(sections.Method)
         if machine is None or rules is None or not methods:
             return None
@@ -91,19 +99,20 @@
 
 
 def packed(plan: Plan) -> list[Any]:
-    """The plan in plain lists and dicts; sections by their words."""
+    """The plan as plain lists and dicts: (section name, values, origin, origins of the keys) for each entry."""
     return [[entry.value.word, msgspec.to_builtins(entry.value), entry.origin, entry.origins]
             for entry in plan.entries]
 
 
 def unpacked(rows: Any, files: list[str]) -> Plan:
-    """
+    """The plan from the rows of `to_rows`.
+
     Raises:
-        ValueError: a section or a key is not known here, or out of its bounds.
+        ValueError: a section or a key is not known to this version, or a value is out of its bounds.
     """
     entries = []
-    for word, fields, origin, origins in rows:
-        if word not in SECTIONS:
-            raise ValueError(f"the section {word!r} is not known to this version")
-        entries.append(Entry(msgspec.convert(fields, SECTIONS[word]), origin, origins))
+    for section_name, fields, origin, origins in rows:
+        if section_name not in SECTIONS:
+            raise ValueError(f"the section {section_name!r} is not known to this version")
+        entries.append(Entry(msgspec.convert(fields, SECTIONS[section_name]), origin, origins))
     return Plan(entries, files)
--- a/hollystage/plan/sections.py
+++ b/hollystage/plan/sections.py
@@ -1,7 +1,7 @@
-"""The sections of a plan, one class each: the one place where their keys, units, bounds and defaults stand.
+"""The schemas of the sections of a plan, one class each: keys, units, bounds and defaults are defined only here.
 
-Times are whole microseconds, sizes bytes, rates a second, shares 0 to 1. A key's unit and what it refers to are
-told by its type; msgspec checks the bounds.
+Times are whole microseconds, sizes are bytes, rates are per second and shares are between 0 and 1. The type of a key
+declares its unit, or the section that it refers to. msgspec checks the bounds.
 """
 from __future__ import annotations
 
@@ -33,28 +33,37 @@
 LedgerName = Annotated[str, Meta(extra={"ref": "ledger"})]
 PoolName = Annotated[str, Meta(extra={"ref": "pool"})]
 
-Trouble = tuple[str, str, str]  # the key, what is wrong with it, how it is put right
+Trouble = tuple[str, str, str]  # the key, what is wrong, how to fix it
 
 
 class Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One entry. `word` is what the script calls it; `live`: the keys that SIGHUP takes, "*" for all."""
+    """Base class of all sections; an instance holds the values of one entry.
+
+    Attributes:
+        section_name: the name by which a script calls the section.
+        positional: the keys that the first arguments of a call set.
+        allows_multiple: whether a plan may have more than one entry of this section.
+        reloadable: the keys that SIGHUP applies without a restart, "*" for all.
+        has_effect: whether this version uses the section; otherwise it only checks it.
+    """
 
     word: ClassVar[str] = ""
     positional: ClassVar[tuple[str, ...]] = ()
     many: ClassVar[bool] = False
     live: ClassVar[tuple[str, ...]] = ()
-    acts: ClassVar[bool] = True  # whether this version goes by it
+    acts: ClassVar[bool] = True
 
     def title(self) -> str:
+        """The name of the entry in messages; empty for a section with only one entry."""
         return str(getattr(self, "name", ""))
 
     def troubles(self) -> Iterator[Trouble]:
-        """What is wrong between the keys of one entry."""
+        """Checks the keys of one entry against each other."""
         return iter(())
 
 
 class Instance(Section, frozen=True):
-    """The process: its name on the control plane, its seed, the time from SIGTERM to the kill."""
+    """The instance: its name on the control plane, its random seed, and the time from SIGTERM to SIGKILL (`stop`)."""
 
     word, positional = "instance", ("name",)
     name: Name
@@ -63,7 +72,7 @@
 
 
 class Listener(Section, frozen=True):
-    """An address at which clients connect."""
+    """An address on which the instance accepts client connections."""
 
     word, positional, many = "listener", ("address",), True
     address: Address
@@ -74,21 +83,21 @@
 
 
 class Interpreter(Section, frozen=True):
-    """Where the RPCs run."""
+    """The address of the interpreter, which executes RPCs."""
 
     word, positional, live = "interpreter", ("address",), ("*",)
     address: Address
 
 
 class ControlPlane(Section, frozen=True):
-    """Where the instance reports."""
+    """The address of the control plane, to which the instance reports its health."""
 
     word, positional, live = "control", ("address",), ("*",)
     address: Address
 
 
 class Ledger(Section, frozen=True):
-    """What calls below go to."""
+    """A ledger, the target of downstream calls."""
 
     word, positional, many, live = "ledger", ("name", "address"), True, ("address",)
     name: Name
@@ -96,7 +105,7 @@
 
 
 class Process(Section, frozen=True):
-    """What the process itself may use."""
+    """The resources that this process itself may use: cores, memory in bytes, sockets."""
 
     word = "process"
     cores: Positive = 1.0
@@ -104,7 +113,7 @@
     sockets: Annotated[int, Meta(ge=32, le=1_000_000)] = 1024
 
     def troubles(self) -> Iterator[Trouble]:
-        # measured: 30 MiB for the program, and 60 KiB for each connection of a full table
+        # measured: 30 MiB for the program and 60 KiB for each connection when the connection table is full
         needed = (30 << 20) + self.sockets * 11 // 16 * (60 << 10)
         if needed > self.memory:
             most = max(32, ((self.memory - (30 << 20)) // (60 << 10)) * 16 // 11)
@@ -113,7 +122,21 @@
 
 
 class Machine(Section, frozen=True):
-    """The interpreter's machine and what can be done on it."""
+    """The machine of the interpreter, and what the interpreter supports.
+
+    Attributes:
+        memory: memory for RPCs, bytes.
+        run_factor: memory of a started RPC as a multiple of the size that was read.
+        key: memory that one remembered idempotency key takes with its result, bytes.
+        cold: whether the instance starts cold, that is, slower than usual.
+        halt: what the interpreter can do with a running RPC whose result is no longer needed.
+        say: the load signal that answers carry.
+        calls_out: this instance's share of the concurrent calls to a shared dependency.
+        below: whether the dependency is shared, or a tier of servers that limit their own load.
+        linger: how long the dependency may keep working on an abandoned call.
+        gauges: gauges that the interpreter reports, in their order.
+        idle: longest idle time of a kept client connection, 0 for no limit.
+    """
 
     word = "machine"
     cores: Annotated[int, Meta(ge=1, le=4096)]
@@ -131,15 +154,22 @@
 
     def troubles(self) -> Iterator[Trouble]:
         if self.key * 10 > self.memory:
-            yield ("key", "ten results of tokened RPCs would fill the machine's memory",
+            yield ("key", "the results of ten RPCs with idempotency keys would fill the machine's memory",
                    "make it smaller, or raise memory")
-        for at, gauge in enumerate(self.gauges):
-            if gauge in self.gauges[:at]:
-                yield "gauges", f'the gauge "{gauge}" stands twice', "name each gauge once"
+        for index, gauge in enumerate(self.gauges):
+            if gauge in self.gauges[:index]:
+                yield "gauges", f'the gauge "{gauge}" is listed twice', "list each gauge once"
 
 
 class Rules(Section, frozen=True):
-    """What the platform promises and asks for."""
+    """Rules of the platform: where throughput collapses, the grace of a drain, and the warm-up.
+
+    Attributes:
+        fall_multiple: number of started RPCs for each core at which throughput collapses.
+        drain_grace: time after the start of a drain during which arriving RPCs are still accepted.
+        cold_from: speed of a cold instance right after its start, as a share of the usual speed.
+        warm_after: time after which a cold instance has its usual speed.
+    """
 
     word = "rules"
     fall_multiple: Positive
@@ -149,33 +179,41 @@
 
 
 class Refusals(Section, frozen=True):
-    """What a pushback may say."""
+    """What a rejection may advise: a time after which to retry, at most `longest`.
+
+    With `promises`, such a time reserves a slot for the retry, as long as there are slots to reserve.
+    """
 
     word = "refusals"
     retry_after: bool = False
     longest: TimeOrNone = 0
-    promises: bool = False  # a time to come back sets a place aside, as long as places last
+    promises: bool = False
 
     def troubles(self) -> Iterator[Trouble]:
         if self.retry_after and not self.longest:
-            yield "retry_after", "a time to come back of 0 at the longest", "add longest = 1s"
+            yield "retry_after", "retry_after with a longest time of 0", "add longest = 1s"
         if self.promises and not self.retry_after:
-            yield "promises", "promised times that no answer tells", "add retry_after = True, or remove it"
+            yield "promises", "promises without retry_after", "add retry_after = True, or remove it"
 
 
 class Fleet(Section, frozen=True):
-    """The instances that share the work, and how they know each other: `bind` switches their talk on.
-
-    `over_share`: the worth of what a tenant sends beyond its quota.
+    """The instances that share the work, and how they communicate: `bind` turns communication between them on.
+
+    Attributes:
+        over_share: value of an RPC beyond its tenant's quota, as a share of the method's criticality.
+        worth_by: whether criticality counts for each RPC or for each unit of work.
+        advertise: the address at which other instances reach this one, if it is not `bind`.
+        peers: instances to contact first; the others are discovered through them.
+        key: file with the key that authenticates messages between instances.
+        period: the interval between probes of the membership protocol.
     """
 
     word = "fleet"
     instances: Count = 1
     over_share: Share = 1.0
-    worth_by: Literal["request", "work"] = "request"  # criticality counts for each RPC or each unit of work
+    worth_by: Literal["request", "work"] = "request"
     bind: NumericAddress | None = None
-    advertise: NumericAddress | None = None  # where the others reach it, if that is not `bind`
-    # some that are asked first; the others are learned
+    advertise: NumericAddress | None = None
     peers: Annotated[list[NumericAddress], Meta(max_length=64, extra={
         "fix": "list addresses; their number is instances = ..."})] = []
     zone: Name = "here"
@@ -187,23 +225,28 @@
         if self.bind is None:
             for key in ("advertise", "peers", "key"):
                 if getattr(self, key):
-                    yield key, f"{key} without bind: the instance talks to nobody", 'add bind = "10.0.0.1:7400"'
+                    yield key, f"{key} without bind: instances do not communicate", 'add bind = "10.0.0.1:7400"'
         elif self.key is None:
-            yield "bind", "talk between instances without a key", 'add key = "/etc/hollystage/fleet.key"'
+            yield "bind", "communication between instances without a key", 'add key = "/etc/hollystage/fleet.key"'
         if (self.advertise or self.bind or "").startswith("0.0.0.0:"):
-            yield "bind", "an address that the others cannot reach", "add advertise = ..., or name one address"
+            yield "bind", "an address that other instances cannot reach", "add advertise = ..., or name one address"
 
 
 class State(Section, frozen=True):
-    """Where what outlives the process is kept: a folder of this instance's own."""
+    """The folder with the state that outlives the process. Each instance needs one of its own."""
 
     word, positional = "state", ("path",)
     path: Path
-    every: Time = 2_000_000  # between snapshots of what was learned
+    every: Time = 2_000_000  # interval between snapshots of the learned statistics
 
 
 class Method(Section, frozen=True):
-    """What clients may call, and what is promised to them."""
+    """A method that clients may call, with its latency target and deadline.
+
+    Attributes:
+        window: how long a retry with the same idempotency key is recognized (kind "tokened" only).
+        skip_share: share of the criticality that remains if the downstream call is skipped; 0 if it cannot be.
+    """
 
     word, positional, many = "method", ("name",), True
     name: Annotated[str, Meta(pattern=r"^[\x21-\x24\x26-\x2e\x30-\x3e\x40-\x7e]{1,64}$",
@@ -216,24 +259,24 @@
     skip_share: Share = 0.0
 
     def troubles(self) -> Iterator[Trouble]:
-        from ..language.units import TIME, Quantity  # noqa: PLC0415  # only where a script is checked
+        from ..language.units import TIME, Quantity  # noqa: PLC0415  # the language is imported only to check a script
         if self.target > self.deadline:
             yield "target", "a latency target past the deadline", "make it shorter than the deadline"
         if self.kind == "tokened":
             deadline = Quantity(_fraction(self.deadline), TIME)
             if not self.window:
-                yield "kind", "a tokened method without a window", "add window = ..., the deadline at least"
+                yield "kind", 'kind "tokened" without a window', "add window = ..., at least the deadline"
             elif self.window < self.deadline:
-                yield ("window", "a window shorter than the deadline: a repeat could run again",
+                yield ("window", "a window shorter than the deadline: a retry could run again",
                        f"write {deadline} or more")
         elif self.window:
-            yield "window", f"a window for {self.kind} RPCs", 'remove it, or write kind = "tokened"'
+            yield "window", f'a window for the kind "{self.kind}"', 'remove it, or write kind = "tokened"'
         if self.skip_share and self.kind == "tokened":
-            yield "skip_share", "tokened RPCs that go on without their call", "remove it"
+            yield "skip_share", 'a skip_share for the kind "tokened"', "remove it"
 
 
 class Tenant(Section, frozen=True):
-    """Who sends RPCs, and how many a second are its share."""
+    """A sender of RPCs, with its quota in RPCs per second."""
 
     word, positional, many = "tenant", ("name",), True
     name: Name
@@ -241,7 +284,7 @@
 
 
 class Route(Section, frozen=True):
-    """Which RPCs go to which pool, and their calls to which ledger; the first that matches counts."""
+    """Assigns RPCs to a pool, and their downstream calls to a ledger. The first route that matches is used."""
 
     word, many, live, acts = "route", True, ("*",), False
     method: MethodName | None = None
@@ -255,11 +298,21 @@
 
     def troubles(self) -> Iterator[Trouble]:
         if self.pool is None and self.ledger is None:
-            yield "", "a route that leads nowhere", "add pool = ... or ledger = ..."
+            yield "", "a route without a pool or a ledger", "add pool = ... or ledger = ..."
 
 
 class Pool(Section, frozen=True):
-    """A part of the machine for some methods: its guaranteed share, its ceiling, whether it lends."""
+    """A part of the machine for some methods.
+
+    Attributes:
+        guaranteed: share of the run limit and of the downstream calls that the pool can always use.
+        ceiling: greatest share that it may use by borrowing from other pools.
+        lends: whether other pools may borrow the part of its guarantee that it does not use.
+        heir: the pool that takes over its RPCs if a reload removes this pool.
+        retries: retries of downstream calls that are allowed for each first attempt.
+        floor: retries per second that are allowed however few first attempts there are.
+        limit: policy of the pool's own limit on concurrent calls; None for no such limit.
+    """
 
     word, positional, many, live = "pool", ("name",), True, ("*",)
     name: Name
@@ -280,7 +333,7 @@
 
 
 class Reserve(Section, frozen=True):
-    """What is kept for the cheapest work under any load."""
+    """Shares of the run limit, memory and downstream calls that are kept for the cheapest work under any load."""
 
     word, live = "reserve", ("running", "memory", "calls")
     running: Share = 0.0
@@ -289,7 +342,7 @@
 
 
 class Limit(Section, frozen=True):
-    """How many may be at calls to a ledger at once, and how that changes."""
+    """The limit on concurrent calls to a ledger, and the policy that adapts it."""
 
     word, positional, many = "limit", ("ledger",), True
     ledger: LedgerName
@@ -302,11 +355,11 @@
 
     def troubles(self) -> Iterator[Trouble]:
         if self.least > self.most:
-            yield "least", "a least limit above the most", "lower it"
+            yield "least", "least is greater than most", "lower it"
 
 
 class Retry(Section, frozen=True):
-    """When a call is made again: a share of first calls, with a floor."""
+    """Retries of calls to a ledger: attempts for each call, and a budget in proportion to first attempts."""
 
     word, positional, many, live, acts = "retry", ("ledger",), True, ("*",), False
     ledger: LedgerName
@@ -319,7 +372,7 @@
 
 
 class Hedge(Section, frozen=True):
-    """When a second call is made beside the first: past a quantile of what calls take."""
+    """Hedged calls: a second call is made when the first takes longer than a quantile of all calls."""
 
     word, positional, many, live, acts = "hedge", ("method",), True, ("*",), False
     method: MethodName
@@ -339,10 +392,14 @@
 
 
 def register(*sections: type[Section]) -> None:
-    """Adds sections; of one word there is one."""
+    """Adds sections to those that scripts and compiled plans may use.
+
+    Raises:
+        ValueError: another section has the same name.
+    """
     for section in sections:
         if not section.word or SECTIONS.get(section.word, section) is not section:
-            raise ValueError(f"the section {section.word!r} is there already")
+            raise ValueError(f"the section {section.word!r} is already registered")
         SECTIONS[section.word] = section
 
 
