--- a/hollystage/commands/__init__.py
+++ b/hollystage/commands/__init__.py
@@ -1,1 +1,4 @@
-"""Sub-commands beside serving. Their modules import what they need when they are run: `serve` pays for none."""
+"""The subcommands other than `serve`.
+
+They import their dependencies when they run, so that `serve` does not load them.
+"""
--- a/hollystage/commands/config.py
+++ b/hollystage/commands/config.py
@@ -1,4 +1,4 @@
-"""`hollystage config`: check, format, compare, show and build plans."""
+"""The command group `hollystage config`: checks, formats, compares, shows and builds plans."""
 from __future__ import annotations
 
 import os
@@ -22,64 +22,64 @@
 @app.command()
 def check(file: Path, json: Json = False,
           strict: Annotated[bool, typer.Option("--strict", help="Warnings fail too.")] = False) -> None:
-    """Read a plan as a start does and tell everything that is wrong with it.
+    """Read a plan as `serve` does and report all errors and warnings.
 
-    Ends with code 0 where the plan can be used, else with 1.
+    Exits with code 0 if the plan can be used, otherwise with 1.
     """
     from ..plan.read import read_file
 
     result = read_file(file)
-    bad = bool(result.errors) or strict and bool(result.faults)
+    failed = bool(result.errors) or strict and bool(result.faults)
     if json:
-        _json({"usable": not result.errors, "faults": [_row(fault) for fault in result.faults],
+        _json({"usable": not result.errors, "faults": [_row(diagnostic) for diagnostic in result.faults],
                "left_out": result.left_out, "entries": len(result.plan.entries), "files": result.plan.files})
     else:
         _report(result)
-        for word in result.plan.idle():
-            typer.echo(f"{file}: note: {word} is checked, but without effect in this version", err=True)
+        for section_name in result.plan.idle():
+            typer.echo(f"{file}: note: {section_name} is checked, but has no effect in this version", err=True)
         if not result.faults:
             typer.echo(f"{file}: good, {len(result.plan.entries)} entries in {len(result.plan.files)} files")
-    raise typer.Exit(1 if bad else 0)
+    raise typer.Exit(1 if failed else 0)
 
 
 @app.command()
 def fmt(files: Annotated[list[str], typer.Argument(help="Files; - for standard input.")],
-        check: Annotated[bool, typer.Option("--check", help="Change nothing; end with 1 where it would.")] = False
-        ) -> None:
-    """Write files in their one form. Comments and meaning stay."""
+        check: Annotated[bool, typer.Option("--check", help="Write nothing; exit with 1 if a file would change.")]
+        = False) -> None:
+    """Format files in the standard layout. Comments and meaning are kept."""
     from ..language.faults import Faults, Unusable
     from ..language.format import formatted
     from ..language.sources import text_of
 
-    worst = 0
+    exit_code = 0
     for file in files:
         try:
             data = sys.stdin.buffer.read() if file == "-" else _read(file)
-            faults = Faults()
-            text = text_of(data, file, faults)
+            diagnostics = Faults()
+            text = text_of(data, file, diagnostics)
             if text is None:
-                raise Unusable(faults.all())
+                raise Unusable(diagnostics.all())
             new = formatted(text, file).encode()
-        except Unusable as bad:
-            for fault in bad.faults:
-                typer.echo(str(fault), err=True)
-            worst = 2
+        except Unusable as error:
+            for diagnostic in error.faults:
+                typer.echo(str(diagnostic), err=True)
+            exit_code = 2
             continue
         if file == "-":
             sys.stdout.buffer.write(new)
         elif new != data:
-            worst = max(worst, 1 if check else 0)
-            typer.echo(f"{file}: {'would be written anew' if check else 'written anew'}")
+            exit_code = max(exit_code, 1 if check else 0)
+            typer.echo(f"{file}: {'would be reformatted' if check else 'reformatted'}")
             if not check:
                 _replace(file, new)
-    raise typer.Exit(worst)
+    raise typer.Exit(exit_code)
 
 
 @app.command()
 def diff(old: Path, new: Path, json: Json = False) -> None:
-    """Tell what two plans mean differently, and whether SIGHUP takes it.
+    """Print the differences in meaning between two plans, and whether SIGHUP applies them.
 
-    Either may be compiled. Ends with code 0 where they mean the same, else with 1.
+    Either plan may be compiled. Exits with code 0 if both mean the same, otherwise with 1.
     """
     from ..plan.compare import compare
 
@@ -91,14 +91,14 @@
         for change in changes:
             typer.echo(str(change))
         if not changes:
-            typer.echo("both mean the same")
+            typer.echo("no differences in meaning")
     raise typer.Exit(1 if changes else 0)
 
 
 @app.command()
 def show(file: Path, json: Json = False,
-         origins: Annotated[bool, typer.Option("--origins", help="Each entry with its line.")] = False) -> None:
-    """Print a plan with all loops, loads and sums done; with --json the platform's keys."""
+         origins: Annotated[bool, typer.Option("--origins", help="Print the origin of each entry.")] = False) -> None:
+    """Print a plan with all loops, loads and expressions evaluated; with --json in the platform's keys."""
     from ..plan.compare import script
 
     plan = _plan(file)
@@ -112,22 +112,26 @@
 
 
 @app.command()
-def build(file: Path, output: Annotated[str, typer.Option("--output", "-o", help="Where to write it.")],
+def build(file: Path, output: Annotated[str, typer.Option("--output", "-o", help="The file to write.")],
           key: KeyFile = "") -> None:
-    """Write a compiled plan, which `serve` reads without the language in memory."""
+    """Write a compiled plan, which `serve` reads without loading the language."""
     from .. import __version__
     from ..plan.compiled import Damaged, dump, read_key
 
     try:
         data = dump(_plan(file), __version__, read_key(key) if key else None)
-    except Damaged as bad:
-        _end(str(bad))
+    except Damaged as error:
+        _end(str(error))
     _replace(output, data)
     typer.echo(f"{output}: {len(data)} bytes, {data.split(b' ')[2].decode()} digest "
                f"{data.split(b' ')[3][:16].decode()}...")
 
 
 def _plan(path: str) -> Plan:
+    """Reads a script or a compiled plan; on errors, prints them and exits with code 2.
+
+    The key file of a compiled plan is named by the environment variable HOLLYSTAGE_PLAN_KEY.
+    """
     from ..plan.compiled import Damaged, is_compiled, parse
     from ..plan.read import read_file
 
@@ -137,8 +141,8 @@
         from ..plan.compiled import read_key
         try:
             return parse(data, read_key(key) if key else None)
-        except Damaged as bad:
-            _end(f"{path}: {bad}")
+        except Damaged as error:
+            _end(f"{path}: {error}")
     result = read_file(path)
     if result.errors:
         _report(result)
@@ -150,12 +154,15 @@
     try:
         with open(path, "rb") as file:
             return file.read()
-    except OSError as bad:
-        _end(f"{path} cannot be read: {bad.strerror}")
+    except OSError as error:
+        _end(f"{path} cannot be read: {error.strerror}")
 
 
 def _replace(path: str, data: bytes) -> None:
-    """All of it or nothing: whoever reads the file meanwhile gets the old one whole."""
+    """Replaces a file atomically: readers see either the old content or the new one, never a part.
+
+    The mode of an existing file is kept; a new one gets 644.
+    """
     try:
         with tempfile.NamedTemporaryFile(dir=os.path.dirname(path) or ".", delete=False) as file:
             file.write(data)
@@ -166,17 +173,18 @@
         else:
             os.chmod(file.name, 0o644)
         os.replace(file.name, path)
-    except OSError as bad:
-        _end(f"{path} cannot be written: {bad.strerror}")
+    except OSError as error:
+        _end(f"{path} cannot be written: {error.strerror}")
 
 
-def _row(fault: Fault) -> dict[str, object]:
-    return {"file": fault.where.file, "line": fault.where.line, "column": fault.where.column,
-            "grade": fault.grade, "what": fault.what, "fix": fault.fix}
+def _row(diagnostic: Fault) -> dict[str, object]:
+    """The JSON object of a diagnostic; its keys are read by other tools."""
+    return {"file": diagnostic.where.file, "line": diagnostic.where.line, "column": diagnostic.where.column,
+            "grade": diagnostic.grade, "what": diagnostic.what, "fix": diagnostic.fix}
 
 
 def _report(result: Result) -> None:
-    """On a terminal with colours, in a pipe plain."""
+    """Prints diagnostics to standard error: with colours on a terminal, otherwise as plain text."""
     from ..language.faults import clip, plain
 
     if not result.faults:
@@ -186,14 +194,14 @@
         from rich.text import Text
 
         console = Console(stderr=True, highlight=False, soft_wrap=True)
-        for fault in result.faults:
-            console.print(Text.assemble((f"{fault.where}: ", "bold"),
-                                        ("warning: " if fault.grade == "warning" else "", "yellow"),
-                                        (fault.what, "yellow" if fault.grade == "warning" else "red"),
-                                        "; fix: ", (fault.fix, "green")))
-            source = result.line(fault.where)
+        for diagnostic in result.faults:
+            console.print(Text.assemble((f"{diagnostic.where}: ", "bold"),
+                                        ("warning: " if diagnostic.grade == "warning" else "", "yellow"),
+                                        (diagnostic.what, "yellow" if diagnostic.grade == "warning" else "red"),
+                                        "; fix: ", (diagnostic.fix, "green")))
+            source = result.line(diagnostic.where)
             if source is not None and source.strip():
-                console.print(Text(f"    {clip(source, fault.where.column)}", "dim"))
+                console.print(Text(f"    {clip(source, diagnostic.where.column)}", "dim"))
     else:
         typer.echo(plain(result.faults, result.line), err=True)
     errors = len(result.errors)
@@ -208,5 +216,6 @@
 
 
 def _end(message: str) -> NoReturn:
+    """Prints an error and exits with code 2."""
     typer.echo(f"hollystage: {message}", err=True)
     raise typer.Exit(2)
--- a/hollystage/commands/demo.py
+++ b/hollystage/commands/demo.py
@@ -1,4 +1,4 @@
-"""`hollystage demo`: an instance among stand-ins, real RPCs over real sockets for some seconds."""
+"""The command `hollystage demo`: runs an instance with stand-ins and sends it RPCs over sockets for some seconds."""
 from __future__ import annotations
 
 import sys
@@ -11,15 +11,15 @@
     from ..standins.caller import Tally
 
 
-def demo(plan: Annotated[str, typer.Argument(help="The plan to try; its addresses are replaced.")] =
+def demo(plan: Annotated[str, typer.Argument(help="The plan to run; its addresses are replaced.")] =
          "examples/counter.star",
-         seconds: Annotated[float, typer.Option(min=0.5, max=600, help="How long to send.")] = 6.0,
-         rate: Annotated[float, typer.Option(min=1, max=2000, help="RPCs a second over all methods.")] = 120.0,
-         seed: Annotated[int, typer.Option(help="For arrivals and run times.")] = 1,
+         seconds: Annotated[float, typer.Option(min=0.5, max=600, help="How long to send RPCs.")] = 6.0,
+         rate: Annotated[float, typer.Option(min=1, max=2000, help="RPCs per second over all methods.")] = 120.0,
+         seed: Annotated[int, typer.Option(help="Seed for arrivals and run times.")] = 1,
          log: Annotated[bool, typer.Option("--log", help="Show the instance's log.")] = False) -> None:
-    """Start an instance among stand-ins, send it RPCs, drain it and tell what was answered.
+    """Start an instance with stand-ins for its peers, send it RPCs, drain it and print how they were answered.
 
-    Ends with code 0 where every RPC got one whole answer.
+    Exits with code 0 if every RPC got a complete answer and none ran twice, otherwise with 1.
     """
     from ..service.config import load
     from ..service.instance import Instance
@@ -32,13 +32,13 @@
 
     try:
         config = load("", plan)
-    except Faulty as bad:
-        typer.echo(f"hollystage: {bad}", err=True)
-        raise typer.Exit(2) from bad
+    except Faulty as error:
+        typer.echo(f"hollystage: {error}", err=True)
+        raise typer.Exit(2) from error
     profiles = config.settings.profiles
     calls = [profile.name for profile, skip in zip(
         profiles, config.settings.domain.class_skip_worth, strict=False) if skip > 0]
-    # as much work as the rate brings fills seven tenths of the cores
+    # run time of an RPC with which the rate uses seven tenths of the cores
     work_s = 0.7 * config.settings.domain.cores / rate
     interpreter = Worker(int(config.settings.domain.cores), {p.name: work_s for p in profiles}, frozenset(calls),
                          seed)
@@ -52,13 +52,13 @@
     load_tool = Load(listen, traffic, seed)
     typer.echo(f"{plan}: {len(profiles)} methods on {int(config.settings.domain.cores)} cores, {rate:g} RPCs/s "
                f"to {config.listen} for {seconds:g} s")
-    begun = time.monotonic()
+    started_at = time.monotonic()
     load_tool.start()
-    while (past := time.monotonic() - begun) < seconds:
-        time.sleep(min(0.25, max(0.01, seconds - past)))
+    while (elapsed := time.monotonic() - started_at) < seconds:
+        time.sleep(min(0.25, max(0.01, seconds - elapsed)))
         counts = instance.counters.read()
-        _progress(f"{min(past, seconds):5.1f} s  {counts.get('rpc.read', 0)} read, {counts.get('rpc.ok', 0)} ok, "
-                  f"{counts.get('rpc.pushed_back', 0)} pushed back, {ledger.calls} calls")
+        _progress(f"{min(elapsed, seconds):5.1f} s  {counts.get('rpc.read', 0)} read, {counts.get('rpc.ok', 0)} ok, "
+                  f"{counts.get('rpc.pushed_back', 0)} rejected, {ledger.calls} calls")
     load_tool.stop()
     _progress("draining")
     instance.drain()
@@ -66,30 +66,35 @@
     instance.stop()
     _progress("")
     lost = _table(load_tool.tallies, {p.name: p.promise_us / 1e6 for p in profiles})
-    twice = sum(count > 1 for count in interpreter.ran.values())
-    typer.echo(f"last report to the control plane: {reported}; run twice: {twice}; without an answer: {lost}")
+    ran_twice = sum(count > 1 for count in interpreter.ran.values())
+    typer.echo(f"last report to the control plane: {reported}; run twice: {ran_twice}; without an answer: {lost}")
     for stand_in in (interpreter, ledger, control):
         stand_in.close()
-    raise typer.Exit(1 if lost or twice else 0)
+    raise typer.Exit(1 if lost or ran_twice else 0)
 
 
 def _progress(text: str) -> None:
+    """Replaces the last line of a terminal; prints nothing elsewhere."""
     if sys.stderr.isatty():
         sys.stderr.write(f"\r\x1b[K{text}")
         sys.stderr.flush()
 
 
 def _table(tallies: dict[str, Tally], targets: dict[str, float]) -> int:
-    """Prints a row a method; returns how many RPCs had no whole answer."""
+    """Prints a table with one row per method; returns the number of RPCs without a complete answer.
+
+    `targets` are the latency targets in seconds.
+    """
     lost = 0
-    typer.echo(f"{'method':16} {'sent':>6} {'ok':>6} {'pushed back':>12} {'aborted':>8} {'in target':>10} "
+    typer.echo(f"{'method':16} {'sent':>6} {'ok':>6} {'rejected':>12} {'aborted':>8} {'in target':>10} "
                f"{'median':>9} {'p99':>9}")
     for method, tally in tallies.items():
-        spans = sorted(tally.spans)
-        good = sum(span <= targets[method] for span in spans) / max(1, tally.sent)
-        middle, high = (spans[len(spans) // 2], spans[len(spans) * 99 // 100]) if spans else (0.0, 0.0)
+        latencies = sorted(tally.spans)
+        in_target = sum(latency <= targets[method] for latency in latencies) / max(1, tally.sent)
+        median, p99 = ((latencies[len(latencies) // 2], latencies[len(latencies) * 99 // 100]) if latencies
+                       else (0.0, 0.0))
         answers = tally.answers
         lost += tally.sent - answers["ok"] - answers["pushed back"] - answers["aborted"]
         typer.echo(f"{method:16} {tally.sent:6} {answers['ok']:6} {answers['pushed back']:12} "
-                   f"{answers['aborted']:8} {good:10.1%} {middle * 1000:6.0f} ms {high * 1000:6.0f} ms")
+                   f"{answers['aborted']:8} {in_target:10.1%} {median * 1000:6.0f} ms {p99 * 1000:6.0f} ms")
     return lost
--- a/hollystage/commands/fleet.py
+++ b/hollystage/commands/fleet.py
@@ -1,11 +1,11 @@
-"""`hollystage fleet`: what a running instance holds of the others."""
+"""The command group `hollystage fleet`: queries a running instance for its view of the fleet."""
 from __future__ import annotations
 
 from typing import Annotated, Any, NoReturn
 
 import typer
 
-app = typer.Typer(no_args_is_help=True, help="Ask a running instance what it holds of the others.")
+app = typer.Typer(no_args_is_help=True, help="Query a running instance for its view of the fleet.")
 Target = Annotated[str, typer.Argument(help="The `bind` address of an instance, like 10.0.0.1:7400.")]
 KeyFile = Annotated[str, typer.Option("--key", envvar="HOLLYSTAGE_FLEET_KEY", help="The fleet's key file.")]
 Cluster = Annotated[str, typer.Option("--cluster", help="The fleet's name.")]
@@ -15,9 +15,9 @@
 
 @app.command()
 def members(address: Target, key: KeyFile, cluster: Cluster = "hollystage", json: Json = False) -> None:
-    """Print the view of one instance: who is there, since which boot, and what each says of itself.
+    """Print the members as one instance sees them: addresses, beliefs, boot numbers and the status each reports.
 
-    Ends with code 0 where the instance answered, else with 1.
+    Exits with code 0 if the instance answered, otherwise with 1.
     """
     found = ask(address, key, cluster, "members")
     if json:
@@ -27,7 +27,7 @@
     from rich.table import Table
     from rich.text import Text
 
-    table = Table(title=f"as {found['me']} sees them, {found['view_age_ms']} ms ago", title_justify="left")
+    table = Table(title=f"members as seen by {found['me']}, {found['view_age_ms']} ms ago", title_justify="left")
     for column in ("name", "zone", "address", "belief", "stage", "boot", "incarnation", "plan", "age"):
         table.add_column(column)
     for row in found["members"]:
@@ -37,25 +37,29 @@
                       str(row["incarnation"]), row["plan"], f"{row['age_s']} s")
     Console(width=None if Console().is_terminal else 160).print(table)
     if not found["fresh"]:
-        typer.echo("it has slept, and has not heard of most of them since")
+        typer.echo("the instance was suspended and has not heard from most members since")
     if found["ousted"]:
-        typer.echo("another process has its name: it takes no part until it is started anew under its own")
+        typer.echo("another process has the same name: the instance is excluded until a restart under another name")
 
 
-def ask(address: str, key: str, cluster: str, what: str, **more: Any) -> dict[str, Any]:
-    """One question to a running instance, over its stream."""
+def ask(address: str, key: str, cluster: str, table_name: str, **options: Any) -> dict[str, Any]:
+    """Queries a running instance for a table.
+
+    On errors, prints them and exits with code 1, or with 2 if the key file cannot be used.
+    """
     import msgspec
 
     from ..fleet.ask import NoAnswer
-    from ..fleet.ask import ask as asking
+    from ..fleet.ask import ask as send_query
     from ..plan.compiled import Damaged, read_key
 
     try:
-        found: dict[str, Any] = msgspec.json.decode(asking(address, read_key(key), cluster, what, **more))
-    except Damaged as bad:
-        _end(f"key: {bad}", 2)
-    except NoAnswer as bad:
-        _end(f"{address}: {bad}", 1)
+        found: dict[str, Any] = msgspec.json.decode(
+            send_query(address, read_key(key), cluster, table_name, **options))
+    except Damaged as error:
+        _end(f"key: {error}", 2)
+    except NoAnswer as error:
+        _end(f"{address}: {error}", 1)
     if "fault" in found:
         _end(f"{address}: {found['fault']}", 1)
     return found
@@ -68,5 +72,6 @@
 
 
 def _end(message: str, code: int) -> NoReturn:
+    """Prints an error and exits with `code`."""
     typer.echo(f"hollystage: {message}", err=True)
     raise typer.Exit(code)
--- a/hollystage/commands/lab.py
+++ b/hollystage/commands/lab.py
@@ -1,4 +1,4 @@
-"""`hollystage lab`: fleets of real processes on this machine, faults between them, and what came of it."""
+"""The command group `hollystage lab`: runs fleets of real processes on this machine with injected faults."""
 from __future__ import annotations
 
 import os
@@ -13,36 +13,36 @@
     from ..standins.fleet.faults import Fault, Schedule
     from ..standins.fleet.history import Line
 
-app = typer.Typer(no_args_is_help=True, help="Fleets of real processes, faults between them, and what came of it.")
-Members = Annotated[int, typer.Option("--members", min=1, max=60, help="Processes of the program.")]
-Seconds = Annotated[float, typer.Option("--seconds", min=1, max=3600, help="How long the schedule is.")]
-Seed = Annotated[int, typer.Option("--seed", help="For the schedule, the links and the traffic.")]
+app = typer.Typer(no_args_is_help=True, help="Run fleets of processes with injected faults, and check the results.")
+Members = Annotated[int, typer.Option("--members", min=1, max=60, help="Number of instances.")]
+Seconds = Annotated[float, typer.Option("--seconds", min=1, max=3600, help="Length of the schedule.")]
+Seed = Annotated[int, typer.Option("--seed", help="Seed for the schedule, the links and the traffic.")]
 Json = Annotated[bool, typer.Option("--json", help="One JSON object on standard output.")]
-Break = Annotated[str, typer.Option("--break", help="Seed this fault into every member; see docs/lab.md.")]
+Break = Annotated[str, typer.Option("--break", help="Activate this seeded fault in every member; see docs/lab.md.")]
 Report = Annotated[str, typer.Option("--report", help="Draw a timeline of every member into this PNG file.")]
 Keep = Annotated[str, typer.Option("--keep", help="Keep histories and logs in this folder.")]
 
 
 @app.callback()
 def lab() -> None:
-    """Fleets of real processes, faults between them, and what came of it."""
+    """Run fleets of processes with injected faults, and check the results."""
 
 
 @app.command()
 def fleet(members: Members = 12, seconds: Seconds = 10.0, seed: Seed = 1,
-          schedule: Annotated[str, typer.Option("--schedule", help="Play this file instead of a drawn one.")] = "",
-          scene: Annotated[str, typer.Option("--scene", help="Play a trouble by its name; see docs/lab.md.")] = "",
-          rate: Annotated[float, typer.Option("--rate", min=0.0, max=2000, help="RPCs a second in all; 0: as usual.")]
+          schedule: Annotated[str, typer.Option("--schedule", help="Run this schedule file.")] = "",
+          scene: Annotated[str, typer.Option("--scene", help="Run the scene of this name; see docs/lab.md.")] = "",
+          rate: Annotated[float, typer.Option("--rate", min=0.0, max=2000, help="RPCs per second in all; 0: default.")]
           = 0.0,
-          period: Annotated[int, typer.Option("--period", min=50, max=60_000, help="Of membership, milliseconds.")]
+          period: Annotated[int, typer.Option("--period", min=50, max=60_000, help="Probe period in milliseconds.")]
           = 500,
           settle: Annotated[float, typer.Option("--settle", min=1, max=600, help="Seconds for views to agree.")]
           = 40.0,
-          shrink: Annotated[bool, typer.Option("--shrink", help="Cut a failing schedule down; takes many plays.")]
+          shrink: Annotated[bool, typer.Option("--shrink", help="Reduce a failing schedule; takes many runs.")]
           = False, broken: Break = "", report: Report = "", keep: Keep = "", json: Json = False) -> None:
-    """Start a fleet among stand-ins, let faults befall it, and judge what everybody saw.
+    """Start a fleet with stand-ins for its peers, inject faults, and check the recorded histories against the rules.
 
-    Ends with code 0 where nothing was violated, 1 where something was, 2 where the call cannot be used.
+    Exits with code 0 if no rule was violated, with 1 if one was, and with 2 if the arguments cannot be used.
     """
     import msgspec
 
@@ -55,9 +55,9 @@
     from ..standins.fleet.sums import budgets, chatter
 
     if broken and broken not in BREAKS:
-        _end(f"--break: no fault is called {broken!r}; there are {', '.join(BREAKS)}")
+        _end(f"--break: unknown fault {broken!r}; known faults: {', '.join(BREAKS)}")
     if scene and scene not in SCENES:
-        _end(f"--scene: no scene is called {scene!r}; there are {', '.join(SCENES)}")
+        _end(f"--scene: unknown scene {scene!r}; known scenes: {', '.join(SCENES)}")
     if schedule:
         plan = read_schedule(schedule)
     else:
@@ -65,25 +65,26 @@
     plan.load |= {"rate": rate} if rate else {}
     try:
         load = msgspec.convert(plan.load | {"period_ms": period, "settle_s": settle}, Load)
-    except msgspec.ValidationError as bad:
-        _end(f"the schedule's load cannot be used: {bad}")
+    except msgspec.ValidationError as error:
+        _end(f"the load of the schedule is invalid: {error}")
 
-    def judge(lines: list[Line]) -> list[Violation]:
+    def check_rules(lines: list[Line]) -> list[Violation]:
         return rules(lines, load, across_lives=True) + membership(
             lines, CHATTER + chatter(load, plan.members)) + comeback(lines) + budgets(
             lines, load.whole)
 
     lines = play(plan, load, broken, keep)
-    found = judge(lines)
-    if found and shrink:
+    violations = check_rules(lines)
+    if violations and shrink:
         def fails(faults: list[Fault]) -> bool:
-            typer.echo(f"playing {len(faults)} events ...", err=True)
-            return bool(judge(play(msgspec.structs.replace(plan, faults=faults), load, broken, "")))
+            typer.echo(f"running {len(faults)} events ...", err=True)
+            return bool(check_rules(play(msgspec.structs.replace(plan, faults=faults), load, broken, "")))
         plan.faults = fewest(plan.faults, fails)
-    tell(plan, lines, found, load, json, report)
+    tell(plan, lines, violations, load, json, report)
 
 
 def play(plan: Schedule, load: Any, broken: str, keep: str) -> list[Line]:
+    """Runs a fleet under a schedule and returns the merged history; histories and logs stay in the folder `keep`."""
     from ..standins.fleet.rig import Rig
 
     if keep:
@@ -94,8 +95,9 @@
         return Rig(plan, folder, load, broken).run()
 
 
-def tell(plan: Schedule, lines: list[Line], found: list[Violation], load: Any, json: bool, report: str) -> NoReturn:
-    """Prints what came of it, and ends the command."""
+def tell(plan: Schedule, lines: list[Line], violations: list[Violation], load: Any, json: bool,
+         report: str) -> NoReturn:
+    """Prints the figures and violations of a run, stores a failing schedule, and ends the command."""
     import msgspec
 
     from ..standins.fleet import aftermath, sums
@@ -108,22 +110,23 @@
         figures["budget"] = sums.figures(lines, load.whole)
     if json:
         typer.echo(msgspec.json.format(msgspec.json.encode(
-            {"violations": found, "seed": plan.seed, "faults": plan.kinds(), "measured": figures})).decode())
+            {"violations": violations, "seed": plan.seed, "faults": plan.kinds(), "measured": figures})).decode())
     else:
         for name, value in figures.items():
             typer.echo(f"{name:20} {value}")
-        for violation in found[:20]:
+        for violation in violations[:20]:
             typer.echo(f"violated: {violation.rule}: {violation.who}: {violation.why}", err=True)
-    if found:
+    if violations:
         with tempfile.NamedTemporaryFile("wb", prefix="schedule-", suffix=".json", delete=False) as file:
             file.write(msgspec.json.format(msgspec.json.encode(plan)))
-        typer.echo(f"{len(found)} violations; to play it again: hollystage lab fleet --schedule {file.name}",
+        typer.echo(f"{len(violations)} violations; to run it again: hollystage lab fleet --schedule {file.name}",
                    err=True)
     sys.stdout.flush()
-    raise typer.Exit(1 if found else 0)
+    raise typer.Exit(1 if violations else 0)
 
 
 def read_schedule(path: str) -> Schedule:
+    """Reads a schedule file; on errors, prints them and exits with code 2."""
     import msgspec
 
     from ..standins.fleet.faults import Schedule
@@ -131,10 +134,10 @@
     try:
         with open(path, "rb") as file:
             plan = msgspec.json.decode(file.read(), type=Schedule)
-    except OSError as bad:
-        _end(f"--schedule: {path} cannot be read: {bad.strerror}")
-    except msgspec.DecodeError as bad:
-        _end(f"--schedule: {path}: {bad}")
+    except OSError as error:
+        _end(f"--schedule: {path} cannot be read: {error.strerror}")
+    except msgspec.DecodeError as error:
+        _end(f"--schedule: {path}: {error}")
     unknown = plan.unknown()
     if unknown:
         _end(f"--schedule: {path}: no party is called {unknown!r}")
@@ -150,5 +153,6 @@
 
 
 def _end(message: str) -> NoReturn:
+    """Prints an error and exits with code 2."""
     typer.echo(f"hollystage: {message}", err=True)
     raise typer.Exit(2)
