--- a/hollystage/plan/read.py
+++ b/hollystage/plan/read.py
@@ -150,8 +150,8 @@
         if not is_whole:
             return float(amount)
         if amount.denominator != 1:
-            smallest_unit = {"time": "1us", "size": "1B"}.get(unit.value, "1")
-            raise _Wrong(f"{self.label} is a multiple of {smallest_unit}, not {written(value)}",
+            expected = {"time": "a multiple of 1us", "size": "a multiple of 1B"}.get(unit.value, "a whole number")
+            raise _Wrong(f"{self.label} is {expected}, not {written(value)}",
                          f"write {written(_like(value, Fraction(max(1, round(amount)))))}")
         return amount.numerator
 
