--- a/hollystage/commands/lab.py
+++ b/hollystage/commands/lab.py
@@ -32,7 +32,7 @@
 def fleet(members: Members = 12, seconds: Seconds = 10.0, seed: Seed = 1,
           schedule: Annotated[str, typer.Option("--schedule", help="Run this schedule file.")] = "",
           scene: Annotated[str, typer.Option("--scene", help="Run the scene of this name; see docs/lab.md.")] = "",
-          rate: Annotated[float, typer.Option("--rate", min=0.0, max=2000, help="RPCs per second; 0 for the default.")]
+          rate: Annotated[float, typer.Option("--rate", min=0.0, max=2000, help="RPCs per second; 0: the default.")]
           = 0.0,
           period: Annotated[int, typer.Option("--period", min=50, max=60_000, help="Probe period in milliseconds.")]
           = 500,
