--- a/hollystage/plan/check.py
+++ b/hollystage/plan/check.py
@@ -12,7 +12,7 @@
 from .sections import Section
 
 Places = list[tuple[Where, dict[str, Where]]]  # of each entry: its own location, and that of each key
-APART = 50  # a time further from the median of its key is most likely written in another unit
+APART = 50  # a time this far from the median is of another magnitude, most likely written in another unit
 # key -> the section whose entries it names
 REFERENCES = {"method": "method", "tenant": "tenant", "ledger": "ledger", "pool": "pool", "heir": "pool",
               "methods": "method"}
--- a/hollystage/plan/read.py
+++ b/hollystage/plan/read.py
@@ -54,7 +54,10 @@
 
 
 class Key:
-    """One key of a section: converts a value of a script to the type that the schema declares."""
+    """One key of a section: converts values of scripts to the type that the schema declares.
+
+    The methods that convert to one kind of type (`_to_...`) raise _ConversionError for any other value.
+    """
 
     def __init__(self, section: type[Section], info: inspect.Field, hint: Any) -> None:
         self.name, self.required, self.hint = info.name, info.required, hint
@@ -264,11 +267,11 @@
     def __init__(self, folder: Folder, root: str) -> None:
         self.faults = Faults()
         self.plan = Plan()
-        self.broken: list[tuple[str, str]] = []  # section and name of entries that could not be read
+        self.broken: list[tuple[str, str]] = []  # section and name of entries that could not be converted
         self.seen: dict[tuple[str, str], Where] = {}  # section and name -> where the entry was first written
         self.places: list[tuple[Where, dict[str, Where]]] = []  # of each entry of the plan and of its keys
         self.full = False  # whether the limit on entries was reported
-        self.program = Program(folder, {word: Word(kind, self) for word, kind in SECTIONS.items()}, self.faults)
+        self.program = Program(folder, {name: Word(kind, self) for name, kind in SECTIONS.items()}, self.faults)
         self.root = root
 
     def tell(self, location: Where, message: str, fix: str) -> None:
@@ -324,7 +327,7 @@
     def __init__(self, reader: Reader) -> None:
         self.plan, self.faults = reader.run(), reader.faults.all()
         self.left_out = reader.faults.left_out
-        self.errors = [fault for fault in self.faults if fault.grade == "error"]
+        self.errors = [diagnostic for diagnostic in self.faults if diagnostic.grade == "error"]
         self._line = reader.program.line
 
     def line(self, location: Where) -> str | None:
