--- a/hollystage/standins/fleet/__init__.py
+++ b/hollystage/standins/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The rig: many processes of the program on one machine, a switchboard between them, and faults on command."""
+"""Test rig: many hollystage processes on one machine, connected by a switchboard that injects faults on command."""
--- a/hollystage/standins/fleet/aftermath.py
+++ b/hollystage/standins/fleet/aftermath.py
@@ -1,4 +1,4 @@
-"""What a history must not show of a coming back, and what is measured of one."""
+"""Checks of recovery after restarts in histories of the rig, and measurements of it."""
 from __future__ import annotations
 
 from collections import defaultdict
@@ -9,134 +9,149 @@
 from .check import SECOND, WINDOW_S, Violation, troubles
 from .history import Line
 
-KEPT, MANY = 0.9, 40  # share of promised times that is kept; judged from so many on
-SLACK_S = 4.0  # between a snapshot's harvest and its being told, and a start's length
-FULL, SPAN = 0.95, 5  # full service: this share of before, in the mean of so many seconds
+KEPT, MANY = 0.9, 40  # smallest share of kept promises; fewer promises than this are not judged
+SLACK_S = 4.0  # seconds between the export of a snapshot and its history entry, plus the length of a start
+FULL, SPAN = 0.95, 5  # full service: this share of the earlier rate, averaged over this many seconds
 
 
 def comeback(lines: list[Line]) -> list[Violation]:
+    """Applies all checks of recovery to the lines of a history."""
     return [*_beliefs(lines), *_lent(lines), *_doubts(lines), *_promises(lines), *_below(lines)]
 
 
 def _beliefs(lines: list[Line]) -> Iterable[Violation]:
-    """What a start takes of its stored state: nothing that was lost, no more of the old than is left."""
-    kept: dict[str, int] = {}
-    saved: dict[str, int] = {}
-    how: dict[str, str] = {}
-    jump: dict[str, float] = defaultdict(float)
-    ahead: dict[str, float] = defaultdict(float)  # of the clock by which the snapshot was written
+    """A start restores nothing that was lost, and weights old statistics no higher than their age allows."""
+    written_at: dict[str, int] = {}
+    copied_at: dict[str, int] = {}
+    state_of: dict[str, str] = {}
+    clock_offset: dict[str, float] = defaultdict(float)
+    written_offset: dict[str, float] = defaultdict(float)  # offset of the clock that dated the snapshot, seconds
     for line in lines:
         who, t = line["who"], line["t"]
         match line["what"]:
             case "saved":
-                saved[who] = t
+                copied_at[who] = t
             case "kept":
-                kept[who], ahead[who] = t, jump[who]
+                written_at[who], written_offset[who] = t, clock_offset[who]
             case "fault" if line["do"] == "clock":
                 for name in line["names"]:
-                    jump[name] = line.get("jitter", 0.0)
+                    clock_offset[name] = line.get("jitter", 0.0)
             case "state":
-                how[who] = line["how"]
+                state_of[who] = line["how"]
                 if line["how"] in ("emptied", "damaged", "old"):
-                    kept.pop(who, None)
+                    written_at.pop(who, None)
             case "sown":
-                used, state = line["used"], how.get(who, "")
+                used, state = line["used"], state_of.get(who, "")
                 if state in ("emptied", "damaged") and used:
-                    yield Violation("no stale belief", who, t, f"its state was {state}, and it believes {used}")
+                    yield Violation("no stale belief", who, t, f"its state was {state}, but it restored {used}")
                 if state == "replanned" and "costs" in used:
-                    yield Violation("no stale belief", who, t, "costs of another machine count")
-                if state in ("", "kept") and who in kept and not line["stored"]:
-                    yield Violation("what was kept is there", who, t, "its snapshot was not found")
-                since = kept.get(who, saved.get(who) if state == "old" else None)
-                if since is None:
+                    yield Violation("no stale belief", who, t, "it restored costs measured on another machine")
+                if state in ("", "kept") and who in written_at and not line["stored"]:
+                    yield Violation("what was kept is there", who, t, "it did not find its snapshot")
+                written = written_at.get(who, copied_at.get(who) if state == "old" else None)
+                if written is None:
                     continue
-                old = (t - since) / SECOND + jump[who] - ahead[who]
+                age_s = (t - written) / SECOND + clock_offset[who] - written_offset[who]
                 for kind, weight in used.items():
-                    most = 0.5 ** (max(0.0, old - SLACK_S) / KINDS[kind].half_life) if KINDS[kind].half_life else 0.0
-                    if weight > most + 0.01 or old < -5 - SLACK_S:
-                        yield Violation("no stale belief", who, t, f"{kind} counts {weight:.2f} at {old:.0f} s")
+                    max_weight = 0.5 ** (max(0.0, age_s - SLACK_S) / KINDS[kind].half_life) \
+                        if KINDS[kind].half_life else 0.0
+                    if weight > max_weight + 0.01 or age_s < -5 - SLACK_S:
+                        yield Violation("no stale belief", who, t,
+                                        f"{kind} has weight {weight:.2f} at an age of {age_s:.0f} s")
 
 
 def _lent(lines: list[Line]) -> Iterable[Violation]:
+    """Statistics of other instances are used only if at least two peers sent theirs."""
     for line in lines:
         if line["what"] == "borrowed" and line["taken"] and line["lenders"] < 2:
-            yield Violation("several are asked", line["who"], line["t"], "one peer's word was taken")
+            yield Violation("several are asked", line["who"], line["t"], "it accepted the statistics of one peer")
 
 
 def _doubts(lines: list[Line]) -> Iterable[Violation]:
-    """A further try of what an earlier life ran is not pushed back: that would say that it did not run."""
+    """A retry of an RPC that an earlier process ran is not rejected: a rejection says that the RPC has not run."""
     ran: dict[tuple[str, str], tuple[int, int]] = {}
-    life: dict[str, int] = defaultdict(int)
-    doubtful: dict[str, str] = {}
-    tries: dict[str, Line] = {}
+    process: dict[str, int] = defaultdict(int)
+    may_have_run: dict[str, str] = {}
+    attempts: dict[str, Line] = {}
     for line in lines:
         match line["what"]:
             case "began":
-                life[line["who"]] = line["life"]
+                process[line["who"]] = line["life"]
             case "try":
-                tries[line["rpc"]] = line
-                at, lived = ran.get((line["to"], line["key"]), (0, 0))
-                if line["tokened"] and at and lived < life[line["to"]] and line["t"] - at < (WINDOW_S - 3) * SECOND:
-                    doubtful[line["rpc"]] = line["to"]
-            case "run" if line["rpc"] in tries:
-                ran[line["who"], tries[line["rpc"]]["key"]] = line["t"], life[line["who"]]
-            case "end" if line["rpc"] in doubtful and line["word"] == "pushed back":
-                yield Violation("2 no effect twice", doubtful[line["rpc"]], line["t"],
-                                f"{line['rpc']} ran in an earlier life and was pushed back")
+                attempts[line["rpc"]] = line
+                at, ran_in = ran.get((line["to"], line["key"]), (0, 0))
+                if (line["tokened"] and at and ran_in < process[line["to"]]
+                        and line["t"] - at < (WINDOW_S - 3) * SECOND):
+                    may_have_run[line["rpc"]] = line["to"]
+            case "run" if line["rpc"] in attempts:
+                ran[line["who"], attempts[line["rpc"]]["key"]] = line["t"], process[line["who"]]
+            case "end" if line["rpc"] in may_have_run and line["word"] == "pushed back":
+                yield Violation("2 no effect twice", may_have_run[line["rpc"]], line["t"],
+                                f"{line['rpc']} ran in an earlier process and was rejected")
 
 
 def promises(lines: list[Line]) -> tuple[int, int]:
-    """Of those that came back when they were told, to an instance that had not died: how many, how many served."""
+    """Counts callers that came back at their promised time, and those of them that were served.
+
+    Leaves out those whose instance was down or whose links had faults.
+    """
     down, links = troubles(lines)
-    came = {line["rpc"]: line for line in lines if line["what"] == "try" and line.get("came")}
-    good = told = 0
+    attempts = {line["rpc"]: line for line in lines if line["what"] == "try" and line.get("came")}
+    served = returned = 0
     for line in lines:
-        if line["what"] == "end" and line["rpc"] in came:
-            sent = came[line["rpc"]]
-            begun = sent["t"] - SECOND
-            if not down.touch(sent["to"], begun, line["t"]) and not links.touch(sent["to"], begun, line["t"]):
-                told, good = told + 1, good + (line["word"] == "ok")
-    return told, good
+        if line["what"] == "end" and line["rpc"] in attempts:
+            sent = attempts[line["rpc"]]
+            start = sent["t"] - SECOND
+            if not down.touch(sent["to"], start, line["t"]) and not links.touch(sent["to"], start, line["t"]):
+                returned, served = returned + 1, served + (line["word"] == "ok")
+    return returned, served
 
 
 def _promises(lines: list[Line]) -> Iterable[Violation]:
-    told, good = promises(lines)
-    if told >= MANY and good < KEPT * told:
-        yield Violation("times to come back are kept", "all", lines[-1]["t"], f"{good} of {told}")
+    """Most callers that come back at their promised time are served."""
+    returned, served = promises(lines)
+    if returned >= MANY and served < KEPT * returned:
+        yield Violation("times to come back are kept", "all", lines[-1]["t"], f"{served} of {returned} were served")
 
 
 def _below(lines: list[Line]) -> Iterable[Violation]:
+    """A ledger fails only if the schedule orders it."""
     ordered = any(line["what"] == "fault" and '"die"' in line.get("how", "") for line in lines)
-    dead = next((line for line in lines if line["what"] == "load" and line["deaths"]), None)
-    if dead is not None and not ordered:
-        yield Violation("the ledger survives", dead["who"], dead["t"], f"it fell over with {dead['held']} calls")
+    failure = next((line for line in lines if line["what"] == "load" and line["deaths"]), None)
+    if failure is not None and not ordered:
+        yield Violation("the ledger survives", failure["who"], failure["t"],
+                        f"it failed with {failure['held']} calls")
 
 
 def figures(lines: list[Line], before_s: float) -> dict[str, Any]:
-    """Time to full service from the schedule's start, and what it cost; criticality served within target."""
-    begun = next((line["t"] for line in lines if line["what"] == "schedule"), 0)
+    """Measures time to full service from the start of the schedule, and the service lost until then.
+
+    Service is counted as the criticality that is served within the latency target; `before_s` seconds ahead of the
+    schedule are the base.
+    """
+    start = next((line["t"] for line in lines if line["what"] == "schedule"), 0)
     stop = next((line["t"] for line in lines if line["what"] == "stopped"), lines[-1]["t"])
     worth: dict[int, float] = defaultdict(float)
     calls = rpcs = 0
-    last = begun
+    last = start
     for line in lines:
-        second = (line["t"] - begun) // SECOND
+        second = (line["t"] - start) // SECOND
         if line["what"] == "rpc":
-            rpcs += line["t"] > begun
+            rpcs += line["t"] > start
             if line["good"]:
                 worth[second] += line["worth"]
-        calls += line["what"] == "call" and line["t"] > begun
+        calls += line["what"] == "call" and line["t"] > start
     base = sum(worth[-s] for s in range(1, int(before_s))) / max(1, int(before_s) - 1)
-    seconds = (stop - begun) // SECOND
+    seconds = (stop - start) // SECOND
     means = [sum(worth[s + k] for k in range(SPAN)) / SPAN / max(1e-9, base) for s in range(seconds - SPAN)]
-    full = next((s for s, mean in enumerate(means) if mean >= FULL), None)
-    told, good = promises(lines)
-    held = [line["held"] for line in lines if line["what"] == "load" and line["t"] > begun]
+    full_at = next((s for s, mean in enumerate(means) if mean >= FULL), None)
+    returned, served = promises(lines)
+    open_calls = [line["held"] for line in lines if line["what"] == "load" and line["t"] > start]
     aborted = [line["t"] for line in lines if line["what"] == "rpc" and line["end"] != "ok" and line["t"] < stop]
-    last = max(aborted, default=begun)
-    return {"before": round(base, 1), "full_s": full,
+    last = max(aborted, default=start)
+    return {"before": round(base, 1), "full_s": full_at,
             "lost_s": round(seconds - sum(worth[s] for s in range(seconds)) / max(1e-9, base), 2),
-            "again_s": sum(mean < 0.9 for mean in means[full:]) if full is not None else None,
-            "ledger_peak": max(held, default=0), "calls_per_rpc": round(calls / max(1, rpcs), 3),
-            "last_unserved_s": round((last - begun) / SECOND, 1), "told": told, "kept": good,
-            "kept_share": round(good / told, 3) if told else None}
+            "again_s": sum(mean < 0.9 for mean in means[full_at:]) if full_at is not None else None,
+            "ledger_peak": max(open_calls, default=0), "calls_per_rpc": round(calls / max(1, rpcs), 3),
+            "last_unserved_s": round((last - start) / SECOND, 1), "told": returned, "kept": served,
+            "kept_share": round(served / returned, 3) if returned else None}
--- a/hollystage/standins/fleet/faults.py
+++ b/hollystage/standins/fleet/faults.py
@@ -1,6 +1,6 @@
-"""The words for faults, as schedules have them; what befalls one message between two parties.
+"""Faults, schedules of them, and their effect on messages between two parties.
 
-The switchboard (real sockets) and the twin (virtual time) go by the same links and the same words.
+The switchboard (real sockets) and the fleet simulation (virtual time) share this model of links and faults.
 """
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 class Fault(msgspec.Struct, frozen=True, omit_defaults=True, forbid_unknown_fields=True):
     """One event of a schedule.
 
-    `at`: seconds from the schedule's start. Link words act from each of `who` to each of `to` (all others where it
-    is empty), and back as well with `both`. `amount`: seconds (delay: the least; pause), a share (lose, double,
-    reorder, spoil), bytes a second (cap), a rate (clock). `jitter`: seconds (delay), seconds to jump (clock).
-    `how`: the state at a start (kept, emptied, old, damaged), or what is called of a stand-in.
+    `at`: seconds from the start of the schedule. Link faults act on the links from each of `who` to each of `to` (all
+    other parties if it is empty), with `both` also in the other direction. `amount`: seconds (delay: the minimum;
+    pause), a probability (lose, double, reorder, spoil), bytes per second (cap), a rate (clock). `jitter`: additional
+    seconds (delay), seconds by which the clock jumps (clock). `how`: the state at a start (kept, emptied, old,
+    damaged, replanned), or the JSON command to a stand-in (call).
     """
 
     at: Annotated[float, msgspec.Meta(ge=0, le=3600)]
@@ -36,9 +37,9 @@
 
 
 class Schedule(msgspec.Struct, omit_defaults=True, forbid_unknown_fields=True):
-    """What befalls a fleet; written down or drawn, and enough to play it again.
+    """The faults of one run, read from a file or drawn from a seed; enough to repeat the run.
 
-    `load`: what is other than usual of traffic and machines (the rig's `Load`).
+    `load`: fields of the rig's `Load` that differ from their defaults.
     """
 
     members: Annotated[int, msgspec.Meta(ge=1, le=10_000)] = 12
@@ -49,24 +50,25 @@
     load: dict[str, bool | int | float | str] = {}
 
     def unknown(self) -> str:
-        """A name that no party has; empty where all are known."""
-        known = {f"m{n}" for n in range(self.members)} | {f"z{n}" for n in range(self.zones)}
-        known |= {f"vm-{name}" for name in known} | {f"ledger-{name}" for name in known}
-        known |= {"all", "clients", "control", "ledgers", "interpreters"}
-        return next((name for fault in self.faults for name in (*fault.who, *fault.to) if name not in known), "")
+        """Returns the first name that is no party of this schedule, or an empty string."""
+        parties = {f"m{n}" for n in range(self.members)} | {f"z{n}" for n in range(self.zones)}
+        parties |= {f"vm-{name}" for name in parties} | {f"ledger-{name}" for name in parties}
+        parties |= {"all", "clients", "control", "ledgers", "interpreters"}
+        return next((name for fault in self.faults for name in (*fault.who, *fault.to) if name not in parties), "")
 
     def kinds(self) -> dict[str, int]:
-        found: dict[str, int] = {}
+        """Returns the number of faults of each kind."""
+        counts: dict[str, int] = {}
         for fault in self.faults:
-            found[fault.do] = found.get(fault.do, 0) + 1
-        return dict(sorted(found.items()))
+            counts[fault.do] = counts.get(fault.do, 0) + 1
+        return dict(sorted(counts.items()))
 
 
 class Link(msgspec.Struct):
-    """From one party to another."""
+    """State of the link from one party to another; the numbers are those of `Fault`."""
 
     cut: bool = False
-    held: bool = False  # connections stay open and carry nothing
+    held: bool = False  # connections stay open and transfer nothing
     delay: float = 0.0
     jitter: float = 0.0
     lose: float = 0.0
@@ -74,20 +76,20 @@
     reorder: float = 0.0
     spoil: float = 0.0
     cap: float = 0.0
-    busy: float = 0.0  # until when the cap's earlier bytes take
+    busy: float = 0.0  # time until which bytes sent earlier occupy the capped link, seconds
 
 
 class Net:
-    """The links that are not as they should be, by ordered pair."""
+    """The links with faults, by ordered pair of parties; all other links deliver at once."""
 
     def __init__(self, seed: int) -> None:
         self.links: dict[tuple[str, str], Link] = {}
         self.chance = random.Random(seed)
 
     def apply(self, fault: Fault, parties: Iterable[str]) -> list[tuple[str, str]]:
-        """Returns the pairs it was about."""
-        everyone = list(parties)
-        pairs = [(a, b) for a in fault.who for b in (fault.to or everyone) if a != b]
+        """Applies a link fault; returns the affected pairs."""
+        all_parties = list(parties)
+        pairs = [(a, b) for a in fault.who for b in (fault.to or all_parties) if a != b]
         if fault.both:
             pairs += [(b, a) for a, b in pairs]
         for pair in pairs:
@@ -107,23 +109,23 @@
         return pairs
 
     def fates(self, pair: tuple[str, str], size: int, now: float) -> list[tuple[float, bool]]:
-        """When each copy of a datagram arrives, in seconds from now, and whether it is spoilt."""
+        """Returns, for each delivered copy of a datagram, the delay in seconds and whether it is corrupted."""
         link = self.links.get(pair)
         if link is None:
             return [(0.0, False)]
-        chance = self.chance
-        if link.cut or link.held or link.lose and chance.random() < link.lose:
+        rng = self.chance
+        if link.cut or link.held or link.lose and rng.random() < link.lose:
             return []
-        wait = link.delay + link.jitter * chance.random()
+        delay = link.delay + link.jitter * rng.random()
         if link.cap:
             link.busy = max(link.busy, now) + size / link.cap
-            wait += link.busy - now
-            if link.busy - now > 1.0:  # a queue as long as a router's; what is more is dropped
+            delay += link.busy - now
+            if link.busy - now > 1.0:  # queue of one second, as in a router; the rest is dropped
                 link.busy -= size / link.cap
                 return []
-        if link.reorder and chance.random() < link.reorder:
-            wait += 0.005 + 0.05 * chance.random()
-        copies = [(wait, bool(link.spoil) and chance.random() < link.spoil)]
-        if link.double and chance.random() < link.double:
-            copies.append((wait + 0.02 * chance.random(), False))
+        if link.reorder and rng.random() < link.reorder:
+            delay += 0.005 + 0.05 * rng.random()
+        copies = [(delay, bool(link.spoil) and rng.random() < link.spoil)]
+        if link.double and rng.random() < link.double:
+            copies.append((delay + 0.02 * rng.random(), False))
         return copies
--- a/hollystage/standins/fleet/history.py
+++ b/hollystage/standins/fleet/history.py
@@ -1,4 +1,4 @@
-"""What one party saw, as JSON lines with the machine's one monotonic clock; and the lines of all, in order."""
+"""Histories: JSON lines that the processes of a run write, dated by the monotonic clock that they share."""
 from __future__ import annotations
 
 import json
@@ -7,22 +7,25 @@
 import time
 from typing import Any
 
-Line = dict[str, Any]  # t: microseconds, who: the party, what: the kind of line, and what belongs to it
+Line = dict[str, Any]  # t: microseconds; who: the party; what: the kind of entry; further keys by kind
 
 
 class History:
+    """The history file of one party. `write` may be called from several threads."""
+
     def __init__(self, folder: str, party: str) -> None:
         self.party, self.lock = party, threading.Lock()
-        self.file = open(os.path.join(folder, f"{party}.jsonl"), "a", buffering=1)  # noqa: SIM115  # open for good
+        self.file = open(os.path.join(folder, f"{party}.jsonl"), "a", buffering=1)  # noqa: SIM115  # never closed
 
     def write(self, what: str, who: str = "", **more: Any) -> None:
+        """Appends an entry; `who` is the party that it is about, by default the writer."""
         line = json.dumps({"t": time.monotonic_ns() // 1000, "who": who or self.party, "what": what} | more)
         with self.lock:
             self.file.write(line + "\n")
 
 
 def read(folder: str) -> list[Line]:
-    """A line that a kill cut short is left out."""
+    """Returns the entries of all histories in a folder, by time; skips lines that a killed process left incomplete."""
     lines: list[Line] = []
     for name in sorted(os.listdir(folder)):
         if name.endswith(".jsonl"):
--- a/hollystage/standins/fleet/member.py
+++ b/hollystage/standins/fleet/member.py
@@ -1,8 +1,9 @@
-"""A member as the rig starts it: `hollystage serve`, with its history told, its clock bent and maybe a fault seeded.
+"""A member as the rig starts it: `hollystage serve` with a history, an adjustable clock and possibly a seeded fault.
 
     python -m hollystage.standins.fleet.member SPEC
 
-SPEC is a JSON file: name, folder, plan, clock (a file with "rate jump_s", read again on SIGUSR2), break.
+SPEC is a JSON file with the keys name, folder, plan, clock (path of a file that holds "rate offset_s" and is read again
+on SIGUSR2) and break (name of a seeded fault, or empty).
 """
 from __future__ import annotations
 
@@ -17,7 +18,10 @@
 
 
 class Bent:
-    """The program's one clock, as the rig wants it; it never goes back within one process but by a jump."""
+    """Replacement of the program's clock, with a rate and an offset that the rig changes while the process runs.
+
+    The time is continuous when the rate changes; only a change of the offset makes it jump. Microseconds.
+    """
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -30,61 +34,63 @@
         return int(self.at + (time.monotonic_ns() // 1000 - self.from_) * self.rate)
 
     def read(self, *_: Any) -> None:
+        """Reads rate and offset from the file; also the handler of SIGUSR2."""
         with open(self.path) as file:
-            rate, jump = map(float, file.read().split())
+            rate, offset = map(float, file.read().split())
         now = self()
-        self.from_, self.at = time.monotonic_ns() // 1000, int(now + (jump - self.jump) * 1e6)
-        self.rate, self.jump = rate, jump
+        self.from_, self.at = time.monotonic_ns() // 1000, int(now + (offset - self.jump) * 1e6)
+        self.rate, self.jump = rate, offset
 
 
 def _watch_coming_back(history: History) -> None:
-    """What was believed after a start, what was kept for the next, and who was asked for what was lost."""
+    """Writes to the history what a start restored, each snapshot written, and each fetch from peers."""
     from ...service.steering import Steering
 
-    begin, keep, borrow = Steering.begin, Steering._keep, Steering._borrow
+    initialize, write_snapshot, fetch = Steering.begin, Steering._keep, Steering._borrow
 
-    def begun(self: Steering, control: Any, now: int) -> None:
-        begin(self, control, now)
+    def recorded_initialize(self: Steering, control: Any, now: int) -> None:
+        initialize(self, control, now)
         history.write("sown", stored=self.stored is not None, used=self.used, age=self.age)
 
-    def kept(self: Steering, *more: Any) -> None:
+    def recorded_write(self: Steering, *arguments: Any) -> None:
         before = self.counters.read().get("state.kept", 0)
-        keep(self, *more)
+        write_snapshot(self, *arguments)
         if self.counters.read().get("state.kept", 0) > before:
             history.write("kept")
 
-    def borrowed(self: Steering, *more: Any) -> None:
-        borrow(self, *more)
+    def recorded_fetch(self: Steering, *arguments: Any) -> None:
+        fetch(self, *arguments)
         history.write("borrowed", lenders=len(self.lent), taken=self.counters.read().get("state.borrowed", 0))
-    for name, method in (("begin", begun), ("_keep", kept), ("_borrow", borrowed)):
+    for name, method in (("begin", recorded_initialize), ("_keep", recorded_write), ("_borrow", recorded_fetch)):
         setattr(Steering, name, method)
 
 
 def main() -> None:
+    """Instruments the program, seeds the fault and runs `hollystage serve`."""
     with open(sys.argv[1]) as file:
         spec = json.load(file)
     history = History(spec["folder"], spec["name"])
     from ...service import driver
 
-    bent = Bent(spec["clock"])
-    driver.clock = bent  # before anything else has taken it
-    signal.signal(signal.SIGUSR2, bent.read)
+    clock = Bent(spec["clock"])
+    driver.clock = clock  # before other modules import the clock
+    signal.signal(signal.SIGUSR2, clock.read)
     from ...decisions.membership.words import Event
     from ...fleet.agent import Agent
 
-    told = Agent.tell
+    log_event = Agent.tell
 
-    def tell(self: Agent, event: Event) -> None:
+    def recorded_log_event(self: Agent, event: Event) -> None:
         history.write("peer", event=event.what, about=event.who, detail=event.detail,
                       boot=self.members.me.boot, birth=self.members.me.birth)
-        told(self, event)
-    Agent.tell = tell  # type: ignore[method-assign]
-    arrived = driver.Driver.arrived
+        log_event(self, event)
+    Agent.tell = recorded_log_event  # type: ignore[method-assign]
+    receive = driver.Driver.arrived
 
-    def read(self: driver.Driver, exchange: Any) -> str:
+    def recorded_receive(self: driver.Driver, exchange: Any) -> str:
         history.write("read", rpc=exchange.ident)
-        return arrived(self, exchange)
-    driver.Driver.arrived = read  # type: ignore[method-assign]
+        return receive(self, exchange)
+    driver.Driver.arrived = recorded_receive  # type: ignore[method-assign]
     _watch_coming_back(history)
     if spec.get("break"):
         from .breaks import BREAKS
--- a/hollystage/standins/fleet/sums.py
+++ b/hollystage/standins/fleet/sums.py
@@ -1,4 +1,7 @@
-"""What a history must not show of a budget, and what is measured of one: the ledger itself counts what is in use."""
+"""Checks of fleet-wide budgets in histories of the rig, and measurements of them.
+
+The ledger itself counts the units in use: its open calls.
+"""
 from __future__ import annotations
 
 from collections import defaultdict
@@ -11,32 +14,33 @@
 from .rig import Load
 
 
-def budgets(lines: list[Line], whole: int) -> list[Violation]:
-    """Never more in use than the whole, whoever died, slept or was cut off."""
-    return list(_over(lines, whole)) if whole else []
+def budgets(lines: list[Line], total: int) -> list[Violation]:
+    """Checks that the units in use never exceed the total, also while members are killed, paused or partitioned."""
+    return list(_over(lines, total)) if total else []
 
 
 def chatter(load: Load, members: int) -> float:
-    """Datagrams a second that whoever divides may say beside the usual: an answer and a half to each question."""
+    """Returns the datagrams per second that an allocator may send beyond MAX_DATAGRAMS_PER_S: 1.5 answers a claim."""
     return 1.5 * members * PERIODS / (load.lease_ms / 1000) if load.whole else 0.0
 
 
-def _over(lines: list[Line], whole: int) -> Iterable[Violation]:
+def _over(lines: list[Line], total: int) -> Iterable[Violation]:
+    """The ledgers never have more open calls than the budget has units."""
     for line in lines:
-        if line["what"] == "load" and line["peak"] > whole:
-            yield Violation("never more than the whole", line["who"], line["t"], f"{line['peak']} of {whole} in use")
+        if line["what"] == "load" and line["peak"] > total:
+            yield Violation("never more than the whole", line["who"], line["t"], f"{line['peak']} of {total} in use")
 
 
-def figures(lines: list[Line], whole: int) -> dict[str, Any]:
-    """`used`: in the mean, of what is in use; `peak`: the most; `least`: the second with the fewest."""
-    begun = next((line["t"] for line in lines if line["what"] == "schedule"), 0)
+def figures(lines: list[Line], total: int) -> dict[str, Any]:
+    """Measures the units in use: `used`, the mean; `peak`, the maximum; `least`, the mean of the lowest second."""
+    start = next((line["t"] for line in lines if line["what"] == "schedule"), 0)
     stop = next((line["t"] for line in lines if line["what"] == "healed"), lines[-1]["t"] if lines else 0)
-    held: dict[int, list[int]] = defaultdict(list)
+    open_calls: dict[int, list[int]] = defaultdict(list)
     peak = 0
     for line in lines:
-        if line["what"] == "load" and begun <= line["t"] < stop:
-            held[(line["t"] - begun) // SECOND].append(line["held"])
+        if line["what"] == "load" and start <= line["t"] < stop:
+            open_calls[(line["t"] - start) // SECOND].append(line["held"])
             peak = max(peak, line["peak"])
-    means = [sum(row) / len(row) for row in held.values()]
-    return {"whole": whole, "peak": peak, "used": round(sum(means) / max(1, len(means)), 2),
+    means = [sum(row) / len(row) for row in open_calls.values()]
+    return {"whole": total, "peak": peak, "used": round(sum(means) / max(1, len(means)), 2),
             "least": round(min(means, default=0.0), 2)}
