--- a/hollystage/standins/fleet/breaks.py
+++ b/hollystage/standins/fleet/breaks.py
@@ -25,7 +25,7 @@
 
 
 def _older_boot() -> None:
-    """Boot numbers are ignored when records are compared, so a record of an older boot wins if its belief is worse."""
+    """Boot numbers of records are not compared, so a record of an older boot wins if its belief is worse."""
     def precedence(self: Record) -> tuple[int, int, int, int]:
         return 0, 0, self.incarnation, self.belief
     _put(Record, "process", property(lambda self: (0, 0)))
--- a/hollystage/standins/fleet/history.py
+++ b/hollystage/standins/fleet/history.py
@@ -25,7 +25,7 @@
 
 
 def read(folder: str) -> list[Line]:
-    """Returns the entries of all histories in a folder, by time; skips lines that a killed process left incomplete."""
+    """Returns the entries of all histories in a folder, by time; skips incomplete lines of killed processes."""
     lines: list[Line] = []
     for name in sorted(os.listdir(folder)):
         if name.endswith(".jsonl"):
--- a/hollystage/standins/fleet/member.py
+++ b/hollystage/standins/fleet/member.py
@@ -2,8 +2,8 @@
 
     python -m hollystage.standins.fleet.member SPEC
 
-SPEC is a JSON file with the keys name, folder, plan, clock (path of a file that holds "rate offset_s" and is read again
-on SIGUSR2) and break (name of a seeded fault, or empty).
+SPEC is a JSON file with the keys name, folder, plan, clock (path of a file that holds "rate offset_s", read again on
+SIGUSR2) and break (name of a seeded fault, or empty).
 """
 from __future__ import annotations
 
--- a/hollystage/standins/fleet/switchboard.py
+++ b/hollystage/standins/fleet/switchboard.py
@@ -1,9 +1,9 @@
-"""The switchboard: a process between all others, through which every datagram and connection goes.
+"""The switchboard: a proxy process that forwards all datagrams and connections between the parties of a run.
 
-Each party is reached at a face, an address of the switchboard's that stands for it. Who sends is known by the
-sender's own address (datagrams, streams between members) or by the port that only it was told (all else). What
-befalls the bytes is for `faults.Net`. A cut or held link takes connections and carries nothing, as behind a
-firewall that drops; what a cut held back goes on when it is healed, as TCP would send it again.
+Each party is reached at a proxy address, an address of the switchboard that stands for it. The sender is identified by
+its own address (datagrams, streams between members) or by a port that only this sender knows (everything else).
+`faults.Network` decides what happens to the bytes. A cut or held link accepts connections and transfers nothing, like a
+firewall that drops packets. Bytes that a cut stopped are forwarded once it is healed, as TCP would retransmit them.
 """
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 from .history import History
 
 CHUNK, BACKLOG = 65536, 1 << 18
-RESEND_S = 0.2  # what a lost segment costs a stream
-RESET = struct.pack("ii", 1, 0)
+RESEND_S = 0.2  # delay of a stream for each lost segment
+RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER with which close() sends RST
 
 
 class Door(msgspec.Struct):
-    """A face to listen at. `source` empty: known by the address it comes from."""
+    """A proxy address and the party behind it. With an empty `source` the sender is identified by its address."""
 
     face: str
     target: str
@@ -40,14 +40,16 @@
 
 
 class Wiring(msgspec.Struct):
+    """Configuration of the switchboard process, read from a JSON file."""
+
     doors: list[Door]
-    hosts: dict[str, str]  # a party's name by its own host
+    hosts: dict[str, str]  # name of a party by the host of its direct address
     seed: int
-    folder: str = ""  # of the history
+    folder: str = ""  # folder of the history; empty: none is written
 
 
 class Order(msgspec.Struct, omit_defaults=True):
-    """A line on standard input: a fault of links, or a party that went down or came up."""
+    """A JSON line on standard input: a link fault, or the name of a party that went down or came up."""
 
     fault: Fault | None = None
     down: str = ""
@@ -55,26 +57,31 @@
 
 
 def place(text: str) -> tuple[str, int]:
+    """Splits "host:port"."""
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
 class Pipe:
-    """One direction of a connection: what was read, when it may go on, and what the other side did not take."""
+    """One direction of a connection: the bytes received and not yet forwarded, each chunk with its due time.
+
+    `on_due` is called when a delayed chunk is due.
+    """
 
     def __init__(self, board: Board, pair: tuple[str, str], source: socket.socket, sink: socket.socket,
                  turn: Callable[[], None]) -> None:
         self.board, self.pair, self.source, self.sink, self.turn = board, pair, source, sink, turn
-        self.queue: deque[tuple[float, bytes]] = deque()  # b"" for the end
+        self.queue: deque[tuple[float, bytes]] = deque()  # due time and bytes; b"" is the end of the stream
         self.size, self.due = 0, 0.0
         self.ended = self.done = False
 
     def stopped(self) -> bool:
+        """Whether the link transfers nothing at present."""
         link = self.board.net.links.get(self.pair)
         return link is not None and (link.cut or link.held)
 
     def fill(self) -> None:
-        """Reads what there is, while the link carries anything and the queue has room."""
+        """Reads available bytes, unless the link is blocked or the queue is full, and computes their due time."""
         while not self.ended and self.size < BACKLOG and not self.stopped():
             try:
                 data = self.source.recv(CHUNK)
@@ -83,9 +90,9 @@
             link, now = self.board.net.links.get(self.pair), time.monotonic()
             due = now
             if link is not None:
-                chance = self.board.net.chance
-                due += link.delay + link.jitter * chance.random()
-                while link.lose and chance.random() < link.lose:
+                rng = self.board.net.chance
+                due += link.delay + link.jitter * rng.random()
+                while link.lose and rng.random() < link.lose:
                     due += RESEND_S
                 if link.cap:
                     link.busy = max(link.busy, now) + len(data) / link.cap
@@ -98,6 +105,7 @@
                 self.board.at(self.due, self.turn)
 
     def drain(self) -> None:
+        """Writes the chunks that are due, as far as the sink accepts them."""
         now = time.monotonic()
         while self.queue and self.queue[0][0] <= now and not self.stopped():
             due, data = self.queue[0]
@@ -119,7 +127,7 @@
 
 
 class Wire:
-    """A connection through the switchboard; both pipes, and the one place where it ends."""
+    """A connection through the switchboard, with a pipe for each direction."""
 
     def __init__(self, board: Board, source: str, target: str, near: socket.socket, far: socket.socket) -> None:
         self.board, self.near, self.far = board, near, far
@@ -128,20 +136,22 @@
                       Pipe(board, (target, source), far, near, self.turn))
 
     def turn(self) -> None:
+        """Transfers what is possible in both directions; closes the connection when both have ended."""
         if not self.open:
             return
         try:
             for pipe in self.pipes:
                 pipe.fill()
                 pipe.drain()
-                pipe.fill()  # it may have been full before
-        except OSError as bad:
-            self.end(bad.errno not in (errno.EPIPE, errno.ENOTCONN))
+                pipe.fill()  # the queue may have been full before
+        except OSError as error:
+            self.end(error.errno not in (errno.EPIPE, errno.ENOTCONN))
             return
         if all(pipe.done for pipe in self.pipes):
             self.end(False)
 
     def end(self, reset: bool) -> None:
+        """Closes both sockets; with `reset` the peers receive RST."""
         if not self.open:
             return
         self.open = False
@@ -154,10 +164,12 @@
 
 
 class Board:
-    def __init__(self, wiring: Wiring) -> None:
-        self.net, self.hosts = Net(wiring.seed), wiring.hosts
-        self.doors = wiring.doors
-        self.parties = sorted({*wiring.hosts.values(), *(door.target for door in wiring.doors)})
+    """The switchboard: one thread that serves all sockets, timers and commands with epoll."""
+
+    def __init__(self, config: Wiring) -> None:
+        self.net, self.hosts = Net(config.seed), config.hosts
+        self.doors = config.doors
+        self.parties = sorted({*config.hosts.values(), *(forward.target for forward in config.doors)})
         self.epoll = select.epoll()
         self.listeners: dict[int, tuple[socket.socket, Door]] = {}
         self.datagrams: dict[int, tuple[socket.socket, Door]] = {}
@@ -165,27 +177,30 @@
         self.timers: list[tuple[float, int, Callable[[], None]]] = []
         self.count = 0
         self.line = b""
-        self.history = History(wiring.folder, "switchboard") if wiring.folder else None
-        self.passed: Counter[str] = Counter()  # datagrams by their sender, within a second
-        for door in self.doors:
-            if door.datagrams:
+        self.history = History(config.folder, "switchboard") if config.folder else None
+        self.passed: Counter[str] = Counter()  # datagrams by sender, in the current second
+        for forward in self.doors:
+            if forward.datagrams:
                 sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-                sock.bind(place(door.face))
+                sock.bind(place(forward.face))
                 sock.setblocking(False)
-                self.datagrams[sock.fileno()] = sock, door
+                self.datagrams[sock.fileno()] = sock, forward
                 self.epoll.register(sock, select.EPOLLIN)
 
-    def at(self, when: float, what: Callable[[], None]) -> None:
+    def at(self, when: float, callback: Callable[[], None]) -> None:
+        """Calls `callback` at a time of the monotonic clock, in seconds."""
         self.count += 1
-        heappush(self.timers, (when, self.count, what))
+        heappush(self.timers, (when, self.count, callback))
 
     def _count(self) -> None:
+        """Writes the number of datagrams by sender to the history, once a second."""
         if self.history is not None:
             self.history.write("datagrams", counts=dict(sorted(self.passed.items())))
         self.passed.clear()
         self.at(time.monotonic() + 1.0, self._count)
 
     def run(self) -> None:
+        """Runs until standard input ends."""
         os.set_blocking(0, False)
         self._count()
         self.epoll.register(0, select.EPOLLIN)
@@ -208,86 +223,88 @@
                 heappop(self.timers)[2]()
 
     def _orders(self) -> bool:
+        """Applies the commands on standard input; returns False at its end."""
         data = os.read(0, 1 << 16)
         *lines, self.line = (self.line + data).split(b"\n")
         for line in lines:
-            order = msgspec.json.decode(line, type=Order)
-            if order.fault is not None:
-                pairs = self.net.apply(order.fault, self.parties)
-                for wire in list(set(self.wires.values())):
-                    if order.fault.do == "reset" and (wire.source, wire.target) in pairs:
-                        wire.end(True)
+            command = msgspec.json.decode(line, type=Order)
+            if command.fault is not None:
+                pairs = self.net.apply(command.fault, self.parties)
+                for connection in list(set(self.wires.values())):
+                    if command.fault.do == "reset" and (connection.source, connection.target) in pairs:
+                        connection.end(True)
                     else:
-                        wire.turn()
-            if order.down:
-                self._down(order.down)
-            if order.up:
-                self._up(order.up)
+                        connection.turn()
+            if command.down:
+                self._down(command.down)
+            if command.up:
+                self._up(command.up)
         return bool(data)
 
     def _up(self, target: str) -> None:
-        there = {id(door) for _, door in self.listeners.values()}
-        for door in self.doors:
-            if door.target == target and not door.datagrams and id(door) not in there:
-                sock = socket.create_server(place(door.face), backlog=512)
+        """Opens the listeners of a party that came up."""
+        open_forwards = {id(forward) for _, forward in self.listeners.values()}
+        for forward in self.doors:
+            if forward.target == target and not forward.datagrams and id(forward) not in open_forwards:
+                sock = socket.create_server(place(forward.face), backlog=512)
                 sock.setblocking(False)
-                self.listeners[sock.fileno()] = sock, door
+                self.listeners[sock.fileno()] = sock, forward
                 self.epoll.register(sock, select.EPOLLIN)
 
     def _down(self, target: str) -> None:
-        """What is gone refuses connections, and those that were open break."""
-        for number, (sock, door) in list(self.listeners.items()):
-            if door.target == target:
+        """Closes the listeners of a party that went down, so that connections to it are refused, and ends open ones."""
+        for number, (sock, forward) in list(self.listeners.items()):
+            if forward.target == target:
                 del self.listeners[number]
                 sock.close()
-        for wire in list(set(self.wires.values())):
-            if wire.target == target:
-                wire.turn()
+        for connection in list(set(self.wires.values())):
+            if connection.target == target:
+                connection.turn()
 
-    def _accept(self, listener: socket.socket, door: Door) -> None:
+    def _accept(self, listener: socket.socket, forward: Door) -> None:
         with contextlib.suppress(OSError):
             while True:
                 near, address = listener.accept()
-                source = door.source or self.hosts.get(address[0], address[0])
+                source = forward.source or self.hosts.get(address[0], address[0])
                 far = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
-                wire = Wire(self, source, door.target, near, far)
+                connection = Wire(self, source, forward.target, near, far)
                 for sock in (near, far):
                     sock.setblocking(False)
                     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                if far.connect_ex(place(door.real)) not in (0, errno.EINPROGRESS):
-                    wire.end(True)
+                if far.connect_ex(place(forward.real)) not in (0, errno.EINPROGRESS):
+                    connection.end(True)
                     continue
                 for sock in (near, far):
-                    self.wires[sock.fileno()] = wire
+                    self.wires[sock.fileno()] = connection
                     self.epoll.register(sock, select.EPOLLIN | select.EPOLLOUT | select.EPOLLRDHUP | select.EPOLLET)
 
-    def _datagrams(self, sock: socket.socket, door: Door) -> None:
+    def _datagrams(self, sock: socket.socket, forward: Door) -> None:
         with contextlib.suppress(OSError):
             while True:
                 data, address = sock.recvfrom(65536)
-                pair = self.hosts.get(address[0], address[0]), door.target
+                pair = self.hosts.get(address[0], address[0]), forward.target
                 now = time.monotonic()
                 self.passed[pair[0]] += 1
-                for wait, spoilt in self.net.fates(pair, len(data), now):
+                for delay, corrupted in self.net.fates(pair, len(data), now):
                     copy = data
-                    if spoilt and data:
+                    if corrupted and data:
                         at = self.net.chance.randrange(len(data))
                         copy = data[:at] + bytes([data[at] ^ 0x41]) + data[at + 1:]
-                    if wait <= 0:
-                        self._pass(sock, copy, door.real)
+                    if delay <= 0:
+                        self._pass(sock, copy, forward.real)
                     else:
-                        self.at(now + wait, lambda copy=copy: self._pass(sock, copy, door.real))  # type: ignore[misc]
+                        self.at(now + delay, lambda copy=copy: self._pass(sock, copy, forward.real))  # type: ignore[misc]
 
     @staticmethod
-    def _pass(sock: socket.socket, data: bytes, real: str) -> None:
+    def _pass(sock: socket.socket, data: bytes, direct_address: str) -> None:
         with contextlib.suppress(OSError):
-            sock.sendto(data, place(real))
+            sock.sendto(data, place(direct_address))
 
 
 def main() -> None:
     with open(sys.argv[1], "rb") as file:
-        wiring = msgspec.json.decode(file.read(), type=Wiring)
-    Board(wiring).run()
+        config = msgspec.json.decode(file.read(), type=Wiring)
+    Board(config).run()
 
 
 if __name__ == "__main__":
