--- a/hollystage/standins/fleet/check.py
+++ b/hollystage/standins/fleet/check.py
@@ -213,7 +213,7 @@
     settled = [line for line in lines if line["what"] == "settled"]
     running = settled[-1]["running"] if settled else []
     if settled and settled[-1]["seconds"] is None:
-        violations.append(Violation("views agree", "all", settled[-1]["t"], "they did not agree in the settling time"))
+        violations.append(Violation("views agree", "all", settled[-1]["t"], "they differ after the settling time"))
     for line in lines:
         if line["what"] == "view" and sorted(line["members"] or ()) != sorted(running):
             reason = f"its view has {sorted(line['members'] or ())}"
--- a/hollystage/standins/fleet/switchboard.py
+++ b/hollystage/standins/fleet/switchboard.py
@@ -1,9 +1,9 @@
 """The switchboard: a proxy process that forwards all datagrams and connections between the parties of a run.
 
-Each party is reached at a proxy address, an address of the switchboard that stands for it. The sender is identified by
-its own address (datagrams, streams between members) or by a port that only this sender knows (everything else).
-`faults.Network` decides what happens to the bytes. A cut or held link accepts connections and transfers nothing, like a
-firewall that drops packets. Bytes that a cut stopped are forwarded once it is healed, as TCP would retransmit them.
+Each party is reached at a proxy address, an address of the switchboard that stands for it. The sender is identified
+by its own address (datagrams, streams between members) or by a port that only this sender knows (everything else).
+`faults.Network` decides what happens to the bytes. A cut or held link accepts connections and transfers nothing, like
+a firewall that drops packets. Bytes that a cut stopped are forwarded once it is healed, as TCP would retransmit them.
 """
 from __future__ import annotations
 
@@ -252,7 +252,7 @@
                 self.epoll.register(sock, select.EPOLLIN)
 
     def _down(self, target: str) -> None:
-        """Closes the listeners of a party that went down, so that connections to it are refused, and ends open ones."""
+        """Closes the listeners of a party that went down, so that it refuses connections; lets open ones end."""
         for number, (sock, forward) in list(self.listeners.items()):
             if forward.target == target:
                 del self.listeners[number]
