--- a/hollystage/standins/fleet/rig.py
+++ b/hollystage/standins/fleet/rig.py
@@ -1,8 +1,8 @@
-"""Starts a fleet of real processes, lets a schedule befall it, and collects what everybody saw.
+"""Starts a fleet of real processes, applies a schedule of faults to it and collects the histories of all processes.
 
-Every party has a host of its own on loopback (127.X.Y.n) and a face on the switchboard (127.X.Y+1.n); nobody is told
-another's real address. The rig's own questions (views, memory) go past the switchboard. Every wait is bounded, and
-every process that was started is ended by its id.
+Every party has a loopback address of its own (127.X.Y.n) and a proxy address on the switchboard (127.X.Y+1.n); no
+party knows the direct address of another. The rig's own queries (views, memory) bypass the switchboard. Every wait is
+bounded, and every process that was started is ended by its id.
 """
 from __future__ import annotations
 
@@ -29,12 +29,17 @@
 from .switchboard import Door, Order, Wiring, place
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__)))))
-START_S, EACH_S = 30.0, 0.25
+START_S, EACH_S = 30.0, 0.25  # for the fleet to join; between two samples of the processes
 FLEET, SERVE, VM, LEDGER, CONTROL = 7400, 8080, 9300, 7700, 8500
 
 
 class Load(msgspec.Struct, forbid_unknown_fields=True):
-    """What the clients send and the machines can do; `rate` over all members, a second."""
+    """Traffic of the clients, capacity of the machines and settings of the members.
+
+    `rate`: RPCs per second over all members. `heeds`: clients follow Retry-After-Ms and X-Dont-Retry. `cold`: speed
+    of a machine after its start, which reaches 1 after `warm_s`. `ledger_slots`: calls that a ledger serves at full
+    speed.
+    """
 
     rate: float = 120.0
     clients: int = 60
@@ -52,16 +57,16 @@
     stop_ms: int = 1500
     memory_mb: int = 192
     ledgers: int = 1
-    ledger_crowd: float = 3.0  # times its slots it survives
-    warm_up_s: float = 2.0  # of traffic before the schedule
-    settle_s: float = 40.0  # for all to agree after the last fault
+    ledger_crowd: float = 3.0  # open calls, as a multiple of its slots, that a ledger survives
+    warm_up_s: float = 2.0  # traffic before the schedule
+    settle_s: float = 40.0  # for all views to agree after the last fault
     hold_deadline_ms: int = 2100
     linger_ms: int = 200
-    whole: int = 0  # of a budget of calls at the ledger, divided among the members; 0: none
+    whole: int = 0  # units of a budget of ledger calls that the members share; 0: no budget
     floor: int = 1
     voters: int = 3
     lease_ms: int = 1500
-    extra: str = ""  # more of each member's plan
+    extra: str = ""  # further lines of each member's plan
 
 METHODS: list[dict[str, Any]] = [
     {"name": "rate-lookup", "tokened": False, "share": 0.66, "target_s": 1.0, "deadline_s": 2.0, "worth": 1.0},
@@ -89,25 +94,25 @@
 
 
 def free_net() -> tuple[str, str, socket.socket]:
-    """Two nets of loopback that no other rig uses, and what holds them."""
-    chance = random.Random(secrets.randbits(32))
+    """Returns the prefixes of two loopback networks that no other rig uses, and the socket that reserves them."""
+    rng = random.Random(secrets.randbits(32))
     while True:
-        x, y = chance.randrange(32, 250), 2 * chance.randrange(0, 127)
-        held = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        x, y = rng.randrange(32, 250), 2 * rng.randrange(0, 127)
+        reservation = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            held.bind((f"127.{x}.{y}.250", 7999))
-            return f"127.{x}.{y}", f"127.{x}.{y + 1}", held
+            reservation.bind((f"127.{x}.{y}.250", 7999))
+            return f"127.{x}.{y}", f"127.{x}.{y + 1}", reservation
         except OSError:
-            held.close()
+            reservation.close()
 
 
 def living(view: dict[str, Any]) -> dict[str, int]:
-    """The boots of those that a view takes for living."""
+    """Returns the boot numbers of the members that a view holds to be living."""
     return {row["name"]: row["boot"] for row in view["members"] if row["belief"] in ("alive", "suspect")}
 
 
 class Rig:
-    """One run. `broken`: the fault seeded into every member."""
+    """One run in `folder`. `seeded_fault`: the name of the fault that is seeded into every member, or empty."""
 
     def __init__(self, schedule: Schedule, folder: str, load: Load | None = None, broken: str = "") -> None:
         self.schedule, self.folder, self.load, self.broken = schedule, folder, load or Load(), broken
@@ -123,7 +128,7 @@
         self.timers: list[threading.Timer] = []
         self.lock, self.over = threading.RLock(), threading.Event()
         self.starts: dict[str, int] = dict.fromkeys(self.names, 0)
-        self.replanned: set[str] = set()  # that were started with twice the cores
+        self.replanned: set[str] = set()  # members that were last started with twice the cores
         hold = {"deadline_s": self.load.hold_deadline_ms / 1000}
         self.methods = [method | hold if method["tokened"] else method for method in METHODS]
         self.key_file = os.path.join(folder, "key")
@@ -135,34 +140,42 @@
     # Addresses
 
     def real(self, number: int, port: int) -> str:
+        """Returns the address at which a process itself listens."""
         return f"{self.net}.{number}:{port}"
 
     def face(self, number: int, port: int) -> str:
+        """Returns the address of the switchboard that stands for a direct address."""
         return f"{self.faces}.{number}:{port}"
 
     def _wiring(self) -> Wiring:
-        doors = [Door(self.face(230, 19999), "control", self.real(230, CONTROL), "clients")]
-        for at, (name, n) in enumerate(self.host.items()):
-            doors += [Door(self.face(n, FLEET), name, self.real(n, FLEET), "", True),
-                      Door(self.face(n, FLEET), name, self.real(n, FLEET)),
-                      Door(self.face(n, SERVE), name, self.real(n, SERVE), "clients"),
-                      Door(self.face(n, VM), f"vm-{name}", self.real(n, VM), name),
-                      Door(self.face(230, 20000 + at), "control", self.real(230, CONTROL), name)]
-            doors += [Door(self.face(210 + k, 20000 + at), ledger, self.real(210 + k, LEDGER), name)
-                      for k, ledger in enumerate(self.ledgers)]
-        return Wiring(doors, {f"{self.net}.{n}": name for name, n in self.host.items()}, self.schedule.seed,
+        """Builds the configuration of the switchboard.
+
+        Streams are attributed to their sender by port: each member has ports of its own for the control plane and the
+        ledgers.
+        """
+        forwards = [Door(self.face(230, 19999), "control", self.real(230, CONTROL), "clients")]
+        for index, (name, n) in enumerate(self.host.items()):
+            forwards += [Door(self.face(n, FLEET), name, self.real(n, FLEET), "", True),
+                         Door(self.face(n, FLEET), name, self.real(n, FLEET)),
+                         Door(self.face(n, SERVE), name, self.real(n, SERVE), "clients"),
+                         Door(self.face(n, VM), f"vm-{name}", self.real(n, VM), name),
+                         Door(self.face(230, 20000 + index), "control", self.real(230, CONTROL), name)]
+            forwards += [Door(self.face(210 + k, 20000 + index), ledger, self.real(210 + k, LEDGER), name)
+                         for k, ledger in enumerate(self.ledgers)]
+        return Wiring(forwards, {f"{self.net}.{n}": name for name, n in self.host.items()}, self.schedule.seed,
                       self.folder)
 
     def plan(self, name: str) -> str:
-        n, at, load = self.host[name], self.names.index(name), self.load
-        ledgers = "\n".join(f'ledger("{ledger}", "{self.face(210 + k, 20000 + at)}")'
+        """Returns the plan of a member, in the settings language."""
+        n, index, load = self.host[name], self.names.index(name), self.load
+        ledgers = "\n".join(f'ledger("{ledger}", "{self.face(210 + k, 20000 + index)}")'
                             for k, ledger in enumerate(self.ledgers))
         budget = BUDGET.format(voters=json.dumps(self.names[:load.voters]), lease=load.lease_ms, whole=load.whole,
                                floor=load.floor) if load.whole else ""
         return PLAN.format(
             linger=load.linger_ms, budget=budget,
-            name=name, seed=f"{self.schedule.seed * 1000 + at + 97 * self.starts[name]:x}", stop=load.stop_ms,
-            listen=self.real(n, SERVE), vm=self.face(n, VM), control=self.face(230, 20000 + at), ledgers=ledgers,
+            name=name, seed=f"{self.schedule.seed * 1000 + index + 97 * self.starts[name]:x}", stop=load.stop_ms,
+            listen=self.real(n, SERVE), vm=self.face(n, VM), control=self.face(230, 20000 + index), ledgers=ledgers,
             memory=load.memory_mb, cores=load.cores * (2 if name in self.replanned else 1), cold=load.cold < 1,
             calls=load.calls_out / len(self.names), cold_from=int(load.cold * 100), warm=int(load.warm_s * 1000),
             grace=load.drain_grace_ms, hold=load.hold_deadline_ms,
@@ -180,6 +193,7 @@
         return os.environ | {"PYTHONPATH": ROOT, "MALLOC_ARENA_MAX": "2"}
 
     def _party(self, name: str, module: str, spec: Any, *arguments: str) -> None:
+        """Starts the switchboard or a stand-in process, and waits until it is ready."""
         path = os.path.join(self.folder, f"{name}.json")
         with open(path, "wb") as file:
             file.write(msgspec.json.encode(spec))
@@ -191,6 +205,7 @@
             raise RuntimeError(f"{name} did not start: see {path}")
 
     def order(self, party: str, **what: Any) -> None:
+        """Sends a command to a stand-in process; ignored if the process has ended."""
         process = self.parties[party]
         assert process.stdin is not None
         with self.lock, contextlib.suppress(BrokenPipeError):
@@ -205,6 +220,7 @@
             process.stdin.flush()
 
     def _backends(self) -> None:
+        """Starts everything but the members: switchboard, control plane, ledgers, interpreters and clients."""
         load, folder, seed = self.load, self.folder, self.schedule.seed
         self._party("switchboard", "switchboard", self._wiring())
         self._party("control", "party", {"folder": folder, "address": self.real(230, CONTROL)}, "control")
@@ -225,6 +241,7 @@
             self._switch(Order(up=target))
 
     def start_member(self, name: str) -> None:
+        """Starts a process of a member, with a plan, log and configuration file of its own."""
         self.starts[name] += 1
         path = os.path.join(self.folder, f"{name}.{self.starts[name]}")
         with open(path + ".star", "w") as file:
@@ -244,59 +261,63 @@
         threading.Thread(target=self._attend, args=(name, process), daemon=True).start()
 
     def _attend(self, name: str, process: subprocess.Popen[bytes]) -> None:
-        """Wires a member up once it listens, and tells when and how it ended."""
-        address, up = place(self.real(self.host[name], SERVE)), False
+        """Opens the proxy addresses of a member once it listens; records when it is up, and when and how it ended."""
+        address, is_up = place(self.real(self.host[name], SERVE)), False
         while process.poll() is None:
-            if not up:
+            if not is_up:
                 with contextlib.suppress(OSError):
                     socket.create_connection(address, 1.0).close()
                     self._switch(Order(up=name))
                     self.history.write("up", name)
-                    up = True
+                    is_up = True
             time.sleep(0.02)
         self._switch(Order(down=name))
         self.order("interpreters", do="reset", name=name)
         self.history.write("ended", name, code=process.returncode, life=self.starts[name])
 
-    # Views, past the switchboard
+    # Views; these queries bypass the switchboard
 
     def view(self, name: str, what: str = "members") -> dict[str, Any] | None:
+        """Returns a table of a member (see `hollystage fleet`); None if the member does not answer."""
         try:
-            found: dict[str, Any] = json.loads(ask(self.real(self.host[name], FLEET), self.key, "hollystage", what))
-            return found
+            rows: dict[str, Any] = json.loads(ask(self.real(self.host[name], FLEET), self.key, "hollystage", what))
+            return rows
         except (NoAnswer, ValueError):
             return None
 
     def running(self) -> list[str]:
+        """Returns the members whose process runs."""
         return [name for name, process in self.members.items() if process.poll() is None]
 
     def agree(self) -> bool:
+        """Whether all running members serve and hold exactly each other to be living, with the right boot numbers."""
         names = self.running()
-        truth: dict[str, int] = {}
-        held: list[dict[str, int]] = []
+        boots: dict[str, int] = {}
+        views: list[dict[str, int]] = []
         for name in names:
             view = self.view(name)
             if view is None or not view["fresh"] or view["ousted"]:
                 return False
             rows = {row["name"]: row for row in view["members"]}
-            truth[name] = rows[name]["boot"]
+            boots[name] = rows[name]["boot"]
             if rows[name]["stage"] not in ("serving", "cold"):
                 return False
-            held.append(living(view))
-        return all(view == truth for view in held)
+            views.append(living(view))
+        return all(view == boots for view in views)
 
     def until_agreed(self, most: float) -> float | None:
-        begun = time.monotonic()
-        while time.monotonic() - begun < most:
+        """Waits until all views agree; returns the seconds that it took, or None after `timeout` seconds."""
+        start = time.monotonic()
+        while time.monotonic() - start < most:
             if self.agree():
-                return time.monotonic() - begun
+                return time.monotonic() - start
             time.sleep(0.1)
         return None
 
     # A run
 
     def run(self) -> list[Line]:
-        """Everything from the first process to the last; returns all histories, in order."""
+        """Runs everything from the first process to the last; returns the entries of all histories, by time."""
         try:
             self._backends()
             for name in self.names:
@@ -316,17 +337,18 @@
         return read(self.folder)
 
     def _befall(self) -> None:
-        begun = time.monotonic()
+        """Applies each fault of the schedule at its time."""
+        start = time.monotonic()
         self.history.write("schedule", faults=len(self.schedule.faults))
         for fault in sorted(self.schedule.faults, key=lambda fault: fault.at):
-            time.sleep(max(0.0, begun + fault.at - time.monotonic()))
+            time.sleep(max(0.0, start + fault.at - time.monotonic()))
             self.apply(fault)
-        time.sleep(max(0.0, begun + self.schedule.seconds - time.monotonic()))
+        time.sleep(max(0.0, start + self.schedule.seconds - time.monotonic()))
 
     def _settle(self) -> None:
-        """All is well again; whoever runs has to find the others."""
-        everyone = [*self.names, "clients"]
-        self._switch(Order(Fault(0, "heal", everyone, [], True)))
+        """Ends all link faults and pauses, waits until the running members agree, and stops the clients."""
+        all_parties = [*self.names, "clients"]
+        self._switch(Order(Fault(0, "heal", all_parties, [], True)))
         for name in self.running():
             self._signal(name, signal.SIGCONT)
         self.history.write("healed")
@@ -338,6 +360,7 @@
         time.sleep(max(method["deadline_s"] for method in self.methods) + 0.5)
 
     def apply(self, fault: Fault) -> None:
+        """Applies a fault now."""
         who, to = self._named(fault.who), self._named(fault.to)
         self.history.write("fault", names=who, **{key: value for key, value in msgspec.to_builtins(fault).items()
                                                   if key not in ("at", "who")} | {"to": to})
@@ -356,7 +379,7 @@
                 case "start":
                     with contextlib.suppress(subprocess.TimeoutExpired):
                         self.members[name].wait(self.load.stop_ms / 1000 + 1)
-                    if name not in self.running():  # troubles of one schedule may start it twice
+                    if name not in self.running():  # faults of one schedule may start it twice
                         self._state(name, fault.how)
                         self.start_member(name)
                 case "clock":
@@ -368,12 +391,12 @@
                     self.order(name, **json.loads(fault.how))
 
     def _named(self, names: list[str]) -> list[str]:
-        """A zone stands for its members and its ledger, "all" for all members."""
-        found: list[str] = []
+        """Replaces a zone by its members and its ledger, and "all" by all members."""
+        expanded: list[str] = []
         for name in names:
             zone = [member for member, zone in self.zones.items() if zone == name or name == "all"]
-            found += [*zone, *(f"ledger-{name}" for _ in zone[:1] if f"ledger-{name}" in self.ledgers)] or [name]
-        return found
+            expanded += [*zone, *(f"ledger-{name}" for _ in zone[:1] if f"ledger-{name}" in self.ledgers)] or [name]
+        return expanded
 
     def _signal(self, name: str, number: int) -> None:
         process = self.members[name]
@@ -382,19 +405,22 @@
             self.history.write("signal", name, number=int(number))
 
     def _later(self, seconds: float, name: str) -> None:
-        def wake() -> None:
+        """Resumes a paused member after some seconds."""
+        def resume() -> None:
             self._signal(name, signal.SIGCONT)
-        timer = threading.Timer(seconds, wake)
+        timer = threading.Timer(seconds, resume)
         timer.daemon = True
         timer.start()
         self.timers.append(timer)
 
     def _save(self, name: str) -> None:
+        """Copies the state folder of a member, as the old state of a later start."""
         state = os.path.join(self.folder, f"state-{name}")
         shutil.copytree(state, state + ".old", dirs_exist_ok=True)
         self.history.write("saved", name)
 
     def _state(self, name: str, how: str) -> None:
+        """Prepares the state folder for a start: kept, emptied, old or damaged; or changes the plan (replanned)."""
         state = os.path.join(self.folder, f"state-{name}")
         self.history.write("state", name, how=how)
         (self.replanned.add if how == "replanned" else self.replanned.discard)(name)
@@ -407,13 +433,13 @@
                 path = os.path.join(state, file)
                 with open(path, "rb") as old:
                     data = bytearray(old.read())
-                for at in range(len(data) // 2, len(data), 7):
-                    data[at] ^= 0x20
+                for index in range(len(data) // 2, len(data), 7):
+                    data[index] ^= 0x20
                 with open(path, "wb") as new:
                     new.write(data)
 
     def _sample(self) -> None:
-        """What each member takes of the machine."""
+        """Records memory, CPU time and file descriptors of each member, until the run ends."""
         page, tick = os.sysconf("SC_PAGE_SIZE"), os.sysconf("SC_CLK_TCK")
         while not self.over.wait(EACH_S):
             for name, process in list(self.members.items()):
@@ -426,17 +452,17 @@
                         (int(parts[11]) + int(parts[12])) / tick, 2), fds=len(os.listdir(f"/proc/{process.pid}/fd")))
 
     def end(self) -> None:
-        """Drains what runs, then ends every process that was started."""
+        """Drains the running members, then ends every process that was started; looks for errors in the logs."""
         self.over.set()
         for timer in self.timers:
             timer.cancel()
         for name in self.running():
             self._signal(name, signal.SIGCONT)
             self._signal(name, signal.SIGTERM)
-        until = time.monotonic() + self.load.stop_ms / 1000 + 2.0
+        stop_time = time.monotonic() + self.load.stop_ms / 1000 + 2.0
         for name, process in self.members.items():
             try:
-                process.wait(max(0.0, until - time.monotonic()))
+                process.wait(max(0.0, stop_time - time.monotonic()))
             except subprocess.TimeoutExpired:
                 self.history.write("overstayed", name)
                 process.kill()
--- a/hollystage/standins/fleet/twin.py
+++ b/hollystage/standins/fleet/twin.py
@@ -1,7 +1,7 @@
-"""Thousands of members in virtual time: the decision code of membership on a simulated network.
+"""Fleet simulation: the decision code of membership for thousands of members, in virtual time on a simulated network.
 
-One seed gives one history. What is told in a datagram is passed on as objects; the keyed hash and its counters,
-which belong to the links, are not played.
+A seed determines the whole history. Messages are passed on as objects; the keyed hash and its counters, which belong
+to the sockets, are not simulated.
 """
 from __future__ import annotations
 
@@ -19,27 +19,32 @@
 from .faults import Fault, Net
 
 SECOND = 1_000_000
-WIRE, STREAM = (200, 800), 2_000  # microseconds that a datagram takes, and a turn of a stream
-HEAD = 90  # bytes of a datagram beside its records
+WIRE, STREAM = (200, 800), 2_000  # delay of a datagram (minimum, maximum) and of one step of a sync
+HEAD = 90  # bytes of a datagram in addition to its records
 
 
 class Node:
-    """One process: its members, and whether it runs."""
+    """A simulated process: the state of its membership, and whether it runs."""
 
-    __slots__ = ("name", "zone", "address", "members", "tick_at", "asleep", "backlog", "boots", "up", "said")
+    __slots__ = ("name", "zone", "address", "members", "next_tick_at", "paused_until", "backlog", "boot_count", "up",
+                 "events")
 
     def __init__(self, name: str, zone: str, address: str) -> None:
         self.name, self.zone, self.address = name, zone, address
         self.members: Members
-        self.tick_at = -1
-        self.asleep = 0  # until when
+        self.next_tick_at = -1
+        self.paused_until = 0  # microseconds of the virtual clock
         self.backlog: list[Callable[[], None]] = []
-        self.boots, self.up = 0, False
-        self.said: list[tuple[int, str, str]] = []
+        self.boot_count, self.up = 0, False
+        self.events: list[tuple[int, str, str]] = []
 
 
 class Twin:
-    """A fleet on one clock. `kind` makes the members: the product's class, or one with a seeded fault."""
+    """A fleet on one virtual clock.
+
+    `members_class`: the product's class, or a subclass with a seeded fault. `converged`: all members know each other
+    at the start. `configured_peer_count`: how many of the first members are configured as peers.
+    """
 
     def __init__(self, count: int, seed: int, terms: Terms | None = None, zones: int = 3, named: int = 3,
                  known: bool = False, kind: type[Members] = Members) -> None:
@@ -48,8 +53,8 @@
         self.seed = seed
         self.messages = self.bytes = self.streams = self.stream_bytes = 0
         self.trace = blake2b(digest_size=16)
-        self.events: list[tuple[int, str, str, str, str]] = []  # when, who saw it, what, of whom, detail
-        self.wrong: Counter[str] = Counter()  # accusations of members that run
+        self.events: list[tuple[int, str, str, str, str]] = []  # time, observer, kind, member, detail
+        self.wrong: Counter[str] = Counter()  # suspicions and losses of members that run
         self.nodes = {f"m{n}": Node(f"m{n}", f"z{n % zones}", f"10.0.{n // 250}.{n % 250}:7000")
                       for n in range(count)}
         self.by_address = {node.address: node for node in self.nodes.values()}
@@ -60,33 +65,36 @@
                 self._know(node.members, records)
 
     def _know(self, members: Members, records: list[Record]) -> None:
-        """As after a long calm: everybody is known, and there is no news."""
+        """Sets the state after a long time without faults: all members are known and no updates are pending."""
         members.records = {record.name: record for record in records if record.name != members.me.name}
         members.living = list(members.records)
         members.places = {record.address: record.name for record in members.records.values()}
         members.joined = True
 
     def _boot(self, node: Node) -> Record:
-        node.boots += 1
-        node.up, node.asleep, node.backlog, node.tick_at = True, 0, [], -1
+        """Starts a process of a node; returns its record."""
+        node.boot_count += 1
+        node.up, node.paused_until, node.backlog, node.next_tick_at = True, 0, [], -1
         birth = self.chance.getrandbits(60)
-        me = Record(node.name, node.zone, node.address, self.clock.now // 1000 + node.boots, birth, 0, 0,
+        me = Record(node.name, node.zone, node.address, self.clock.now // 1000 + node.boot_count, birth, 0, 0,
                     Digest(1, Stage.SERVING))
         node.members = self.kind(me, self.named, self.terms, self.chance.getrandbits(60), self.clock.now)
         self.settle(node)
         return me
 
-    # Faults, in the words of schedules
+    # Faults of schedules
 
-    def at(self, second: float, what: Callable[[], None]) -> None:
-        self.clock.at(SECOND + int(second * SECOND), what)
+    def at(self, second: float, callback: Callable[[], None]) -> None:
+        """Calls `callback` at a second of the simulation."""
+        self.clock.at(SECOND + int(second * SECOND), callback)
 
     def play(self, faults: list[Fault]) -> None:
-        """A schedule that begins now; clocks are one here, so that words for clocks do nothing."""
+        """Schedules faults from now on. All members share one clock here, so clock faults have no effect."""
         for fault in faults:
             self.clock.at(self.clock.now + int(fault.at * SECOND), partial(self.apply, fault))
 
     def apply(self, fault: Fault) -> None:
+        """Applies a fault now."""
         match fault.do:
             case "kill":
                 for name in fault.who:
@@ -108,30 +116,33 @@
             case _:
                 self.net.apply(fault, self.nodes)
 
-    def pause(self, node: Node, span: int) -> None:
-        node.asleep = max(node.asleep, self.clock.now + span)
-        self.clock.at(node.asleep, lambda: self._rouse(node))
+    def pause(self, node: Node, duration: int) -> None:
+        """Suspends a process for some microseconds."""
+        node.paused_until = max(node.paused_until, self.clock.now + duration)
+        self.clock.at(node.paused_until, lambda: self._rouse(node))
 
     def _rouse(self, node: Node) -> None:
-        if self.clock.now < node.asleep or not node.up:
+        if self.clock.now < node.paused_until or not node.up:
             return
         backlog, node.backlog = node.backlog, []
-        for what in backlog[:2000]:  # as many as a socket's buffer holds
-            what()
+        for deliver in backlog[:2000]:  # capacity of a socket's receive buffer
+            deliver()
         self._tick(node)
 
     def run(self, seconds: float) -> None:
+        """Advances the virtual clock."""
         self.clock.run(self.clock.now + int(seconds * SECOND))
 
     # Time and messages
 
     def _tick(self, node: Node) -> None:
-        if not node.up or self.clock.now < node.asleep:
+        if not node.up or self.clock.now < node.paused_until:
             return
         node.members.tick(self.clock.now)
         self.settle(node)
 
     def settle(self, node: Node) -> None:
+        """Performs the actions of a member, records its events and schedules its next timer."""
         members, now = node.members, self.clock.now
         if members.events:
             for event in members.happened():
@@ -145,39 +156,39 @@
             else:
                 self._meet(node, action)
         due = members.next_at
-        if node.tick_at < now or due < node.tick_at:
-            node.tick_at = due
+        if node.next_tick_at < now or due < node.next_tick_at:
+            node.next_tick_at = due
 
             def tick() -> None:
-                if node.members is members and node.tick_at == due:
-                    node.tick_at = -1
+                if node.members is members and node.next_tick_at == due:
+                    node.next_tick_at = -1
                     self._tick(node)
             self.clock.at(due, tick)
 
     def _send(self, node: Node, action: Send) -> None:
-        size = HEAD + node.members.me.size() + sum(piece.record.size() for piece in action.news)
+        size = HEAD + node.members.me.size() + sum(update.record.size() for update in action.news)
         self.messages += 1
         self.bytes += size
         target = self.by_address.get(action.address)
         if target is None:
             return
-        me, word, news = node.members.me, action.word, action.news
-        for wait, spoilt in self.net.fates((node.name, target.name), size, self.clock.now / SECOND):
-            if not spoilt:
-                self.clock.at(self.clock.now + int(wait * SECOND) + self.chance.randint(*WIRE),
-                              lambda: self._arrive(target, me, word, news))
+        me, message, updates = node.members.me, action.word, action.news
+        for delay, corrupted in self.net.fates((node.name, target.name), size, self.clock.now / SECOND):
+            if not corrupted:
+                self.clock.at(self.clock.now + int(delay * SECOND) + self.chance.randint(*WIRE),
+                              lambda: self._arrive(target, me, message, updates))
 
-    def _arrive(self, node: Node, sender: Record, word: Word, news: list[News]) -> None:
+    def _arrive(self, node: Node, sender: Record, message: Word, updates: list[News]) -> None:
         if not node.up:
             return
-        if self.clock.now < node.asleep:
-            node.backlog.append(lambda: self._arrive(node, sender, word, news))
+        if self.clock.now < node.paused_until:
+            node.backlog.append(lambda: self._arrive(node, sender, message, updates))
             return
-        node.members.heard(sender, word, news, self.clock.now)
+        node.members.heard(sender, message, updates, self.clock.now)
         self.settle(node)
 
     def _meet(self, node: Node, action: Meet) -> None:
-        """A full exchange: three turns of a stream, each of which needs both ways and both sides awake."""
+        """Simulates a sync: three steps of a stream; each needs both directions of the link and both processes."""
         target = self.by_address.get(action.address)
         members = node.members
         self.streams += 1
@@ -186,60 +197,60 @@
             if node.members is members and node.up:
                 members.missed(action.address, self.clock.now)
 
-        def turn(what: Callable[[], None], other: Node) -> None:
-            if target is None or not other.up or self.clock.now < other.asleep or node.members is not members or any(
+        def step(proceed: Callable[[], None], other: Node) -> None:
+            if target is None or not other.up or self.clock.now < other.paused_until or node.members is not members or any(
                     (link := self.net.links.get(pair)) and (link.cut or link.held)
                     for pair in ((node.name, target.name), (target.name, node.name))):
                 failed()
                 return
-            what()
+            proceed()
 
-        def open_() -> None:
+        def send_request() -> None:
             assert target is not None
-            opening = members.opening()
-            self.clock.at(self.clock.now + STREAM, lambda: turn(lambda: answer(opening), target))
+            request = members.opening()
+            self.clock.at(self.clock.now + STREAM, lambda: step(lambda: respond(request), target))
 
-        def answer(opening: Opening) -> None:
+        def respond(request: Opening) -> None:
             assert target is not None
-            given = target.members.answering(opening, self.clock.now)
-            self.stream_bytes += 600 + sum(record.size() for record in given.records)
+            response = target.members.answering(request, self.clock.now)
+            self.stream_bytes += 600 + sum(record.size() for record in response.records)
             self.settle(target)
-            self.clock.at(self.clock.now + STREAM, lambda: turn(lambda: take(given), node))
+            self.clock.at(self.clock.now + STREAM, lambda: step(lambda: handle_response(response), node))
 
-        def take(given: Answer) -> None:
+        def handle_response(response: Answer) -> None:
             assert target is not None
-            rest = members.answered(given, self.clock.now)
-            self.stream_bytes += 50 + sum(record.size() for record in rest.records)
+            push = members.answered(response, self.clock.now)
+            self.stream_bytes += 50 + sum(record.size() for record in push.records)
             self.settle(node)
-            self.clock.at(self.clock.now + STREAM, lambda: turn(lambda: end(rest), target))
+            self.clock.at(self.clock.now + STREAM, lambda: step(lambda: handle_push(push), target))
 
-        def end(rest: Rest) -> None:
+        def handle_push(push: Rest) -> None:
             assert target is not None
-            target.members.rested(rest, self.clock.now)
+            target.members.rested(push, self.clock.now)
             self.settle(target)
 
-        turn(open_, node)
+        step(send_request, node)
 
-    # What the judge sees
+    # Views
 
     def agree(self, among: list[str] | None = None) -> bool:
-        """Whether all that run hold the same: themselves, and nobody else."""
+        """Whether all running members hold exactly each other to be living."""
         names = among or [name for name, node in self.nodes.items() if node.up]
-        truth = {name: self.nodes[name].members.me.process for name in names}
+        processes = {name: self.nodes[name].members.me.process for name in names}
         for name in names:
             members = self.nodes[name].members
-            if len(members.living) != len(truth) - 1:
+            if len(members.living) != len(processes) - 1:
                 return False
             for other in members.living:
-                if truth.get(other) != members.records[other].process:
+                if processes.get(other) != members.records[other].process:
                     return False
         return True
 
     def until_agreed(self, most: float, step: float = 0.1) -> float | None:
-        """Seconds until all views agree; None where they do not within `most`."""
-        begun = self.clock.now
-        while self.clock.now - begun < most * SECOND:
+        """Runs until all views agree; returns the virtual seconds, or None after `timeout` seconds."""
+        start = self.clock.now
+        while self.clock.now - start < most * SECOND:
             if self.agree():
-                return (self.clock.now - begun) / SECOND
+                return (self.clock.now - start) / SECOND
             self.run(step)
         return None
