--- a/hollystage/standins/fleet/twin.py
+++ b/hollystage/standins/fleet/twin.py
@@ -198,9 +198,9 @@
                 members.missed(action.address, self.clock.now)
 
         def step(proceed: Callable[[], None], other: Node) -> None:
-            if target is None or not other.up or self.clock.now < other.paused_until or node.members is not members or any(
-                    (link := self.net.links.get(pair)) and (link.cut or link.held)
-                    for pair in ((node.name, target.name), (target.name, node.name))):
+            if (target is None or not other.up or self.clock.now < other.paused_until or node.members is not members
+                    or any((link := self.net.links.get(pair)) and (link.cut or link.held)
+                           for pair in ((node.name, target.name), (target.name, node.name)))):
                 failed()
                 return
             proceed()
