--- a/hollystage/standins/__init__.py
+++ b/hollystage/standins/__init__.py
@@ -1,1 +1,4 @@
-"""Stand-ins for all that an instance speaks to, on loopback: for the tests, and for users to try things with."""
+"""Stand-ins on loopback for the interpreter, the ledger, the control plane and the callers of an instance.
+
+Tests, benchmarks and `hollystage demo` use them.
+"""
--- a/hollystage/standins/call_sum.py
+++ b/hollystage/standins/call_sum.py
@@ -1,4 +1,4 @@
-"""Many instances at one ledger, none of which hears of another: the calls that they have there together."""
+"""Simulation of many processes that call one ledger and exchange no messages: total of the calls in progress."""
 from __future__ import annotations
 
 from math import sqrt
@@ -8,13 +8,13 @@
 from .sharing import Clock
 from .virtual import SECOND, Box, Demand, lookup
 
-STEP = 50_000  # microseconds between two looks at the sum
-RATE, CALL = 20.0, 150_000  # RPCs a second at each instance; what a call takes, in microseconds
-WORK, LINGER = 8_000, 200_000  # of an RPC on the cores; how long a call that was given up is still held
+STEP = 50_000  # between two samples of the calls in progress
+RATE, CALL = 20.0, 150_000  # RPCs per second at each process
+WORK, LINGER = 8_000, 200_000  # mean time on the cores of an RPC; time for which an abandoned call stays in progress
 
 
 class WatchedLedger(LedgerModel):
-    """Never full and never dead; counts what it holds, abandoned calls among them."""
+    """A ledger that is never full and never crashes, and samples its calls in progress, including abandoned ones."""
 
     def __init__(self, clock: Clock, seed: int) -> None:
         super().__init__(clock, Terms(slots=1 << 20, mean=CALL), seed)
@@ -22,20 +22,28 @@
         self.look()
 
     def look(self) -> None:
+        """Appends one sample and schedules the next."""
         self.held.append(len(self.work))
         self.clock.at(self.clock.now + STEP, self.look)
 
     def give_up(self, number: int) -> None:
+        """Abandons a call, which stays in progress for `LINGER_US`."""
         super().give_up(number)
         self.clock.at(self.clock.now + LINGER, lambda: self.leave(number))
 
     def leave(self, number: int) -> None:
+        """Removes an abandoned call, unless it has completed."""
         if self.work.remove(number, self.clock.now):
             self._changed()
 
 
 class CallSum:
-    """`processes` that start in the same moment, each with `share` of the calls and more RPCs than it can serve."""
+    """Processes that start at the same time, each with more RPCs than it can serve and its own limit on calls.
+
+    Args:
+        share: limit on concurrent calls of each process
+        slow_from: seconds after which the ledger takes 10 times as long; 0 for never
+    """
 
     def __init__(self, processes: int, share: float, seed: int, slow_from: float = 0.0) -> None:
         self.whole = processes * share
@@ -49,18 +57,20 @@
             self.clock.at(START + int(slow_from * SECOND), lambda: self.ledger.slow(10))
 
     def run(self, seconds: float) -> CallSum:
+        """Runs the simulation until `seconds` after its start."""
         self.clock.run(START + int(seconds * SECOND))
         return self
 
     @property
     def allowed(self) -> float:
-        """The whole, and what may be put down to chance."""
+        """The sum of all limits, with an allowance for random variation."""
         return self.whole + 2 * sqrt(self.whole) + 2
 
     def worst_mean(self, span: int = 5 * SECOND) -> float:
-        """The most that the ledger held in the mean of any `span`."""
-        steps, held = span // STEP, self.ledger.held
-        return max(sum(held[at:at + steps]) / steps for at in range(max(1, len(held) - steps)))
+        """Returns the largest mean of the calls in progress over any window of this length (microseconds)."""
+        steps, samples = span // STEP, self.ledger.held
+        return max(sum(samples[at:at + steps]) / steps for at in range(max(1, len(samples) - steps)))
 
     def calls(self) -> int:
+        """Returns the number of calls that the ledger received."""
         return self.ledger.judge.calls
--- a/hollystage/standins/caller.py
+++ b/hollystage/standins/caller.py
@@ -1,4 +1,4 @@
-"""A client's connection, and clients that send RPCs for a while and count their answers."""
+"""A client connection for tests, and a load generator that sends RPCs and counts their outcomes."""
 from __future__ import annotations
 
 import itertools
@@ -18,7 +18,7 @@
 
 
 class Caller:
-    """One connection; RPCs on it get ids of their own."""
+    """One client connection. Each RPC gets a new request id unless one is given."""
 
     def __init__(self, address: Address) -> None:
         self.sock = socket.create_connection(address)
@@ -27,7 +27,11 @@
 
     def send(self, method: str = "lookup", body: bytes = b"", ident: str | None = None,
              **fields: str | None) -> Caller:
-        """Fields in underscores; None leaves one out that is usually there."""
+        """Sends an RPC without waiting for its response.
+
+        Args:
+            fields: header fields, with underscores for hyphens; None omits a field that is sent by default
+        """
         self.ident = ident or f"{next(IDENTS):016x}"
         usual = {"X-Request-Id": self.ident, "X-Request-Start": str(int(time.time() * 1000)), "X-Caller": "4",
                  "X-Timeout-Ms": "3000", "X-Memory-Kb": "10.5"}
@@ -37,20 +41,27 @@
         return self
 
     def answer(self) -> Response:
+        """Reads the next response, which must arrive within 5 s."""
         return read_response(self.stream, time.monotonic() + 5)
 
     def ask(self, method: str = "lookup", body: bytes = b"", ident: str | None = None,
             **fields: str | None) -> Response:
+        """Sends an RPC and reads its response."""
         return self.send(method, body, ident, **fields).answer()
 
     def closed(self) -> bool:
+        """Waits up to 5 s and returns True once the peer has closed the connection, False if it sends more bytes.
+
+        Raises:
+            TimeoutError: neither happened in time.
+        """
         self.sock.settimeout(5)
         return self.sock.recv(1) == b""
 
 
 @dataclass(slots=True)
 class Tally:
-    """What the clients of one method got; `spans` are seconds of the ok ones."""
+    """Results of one method's RPCs: the number sent, the count of each outcome, and latencies of successful RPCs."""
 
     sent: int = 0
     answers: Counter[str] = field(default_factory=Counter)
@@ -59,7 +70,7 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """RPCs of one method at a rate a second, from `clients` connections."""
+    """RPCs of one method: total rate per second, spread evenly over `clients` connections."""
 
     method: str
     rate: float
@@ -69,50 +80,52 @@
 
 
 class Load:
-    """Sends every kind of traffic for a while; one lock for the tallies."""
+    """Sends RPCs at random intervals (Poisson arrivals) with one thread per client, until stopped."""
 
-    def __init__(self, address: Address, kinds: list[Traffic], seed: int = 1) -> None:
-        self.address, self.kinds = address, kinds
-        self.tallies = {kind.method: Tally() for kind in kinds}
+    def __init__(self, address: Address, traffic: list[Traffic], seed: int = 1) -> None:
+        self.address, self.kinds = address, traffic
+        self.tallies = {one.method: Tally() for one in traffic}
         self.lock = threading.Lock()
         self.stopped = threading.Event()
-        self.threads = [threading.Thread(target=self._client, args=(kind, seed * 1000 + number), daemon=True)
-                        for kind in kinds for number in range(kind.clients)]
+        self.threads = [threading.Thread(target=self._client, args=(one, seed * 1000 + number), daemon=True)
+                        for one in traffic for number in range(one.clients)]
 
     def start(self) -> None:
+        """Starts all clients."""
         for thread in self.threads:
             thread.start()
 
     def stop(self) -> None:
-        """Returns once every RPC that was sent has ended."""
+        """Stops all clients and waits up to 10 s for each to end its RPC."""
         self.stopped.set()
         for thread in self.threads:
             thread.join(timeout=10)
 
-    def _client(self, kind: Traffic, seed: int) -> None:
-        chance = random.Random(seed)
+    def _client(self, traffic: Traffic, seed: int) -> None:
+        rng = random.Random(seed)
         caller: Caller | None = None
-        while not self.stopped.wait(chance.expovariate(kind.rate / kind.clients)):
-            begun = time.monotonic()
-            token = secrets.token_hex(16)
+        while not self.stopped.wait(rng.expovariate(traffic.rate / traffic.clients)):
+            started_at = time.monotonic()
+            key = secrets.token_hex(16)
             try:
                 if caller is None:
                     caller = Caller(self.address)
-                answer = caller.ask(kind.method, token.encode(), Idempotency_Key=token if kind.tokened else None,
-                                    X_Caller=str(seed % 10 ** 9), X_Timeout_Ms=str(int(kind.deadline_s * 1000)))
-                word = {200: "ok", 503: "pushed back", 500: "aborted"}.get(answer.status, f"status {answer.status}")
-                if word == "ok" and answer.body != b"ran " + token.encode():
-                    word = "wrong result"
-                if not answer.keep:
+                response = caller.ask(traffic.method, key.encode(), Idempotency_Key=key if traffic.tokened else None,
+                                      X_Caller=str(seed % 10 ** 9), X_Timeout_Ms=str(int(traffic.deadline_s * 1000)))
+                outcome = {200: "ok", 503: "pushed back", 500: "aborted"}.get(response.status,
+                                                                              f"status {response.status}")
+                if outcome == "ok" and response.body != b"ran " + key.encode():
+                    outcome = "wrong result"
+                if not response.keep:
                     caller.sock.close()
                     caller = None
-            except (OSError, Broken, Bad) as bad:
-                word, caller = f"lost: {type(bad).__name__}", None
+            except (OSError, Broken, Bad) as error:
+                outcome, caller = f"lost: {type(error).__name__}", None
             with self.lock:
-                tally = self.tallies[kind.method]
-                tally.sent += 1
-                tally.answers[word] += 1
-                if word == "ok":
-                    tally.spans.append(time.monotonic() - begun)
+                result = self.tallies[traffic.method]
+                result.sent += 1
+                result.answers[outcome] += 1
+                if outcome == "ok":
+                    result.spans.append(time.monotonic() - started_at)
         if caller is not None:
             caller.sock.close()
--- a/hollystage/standins/interpreter.py
+++ b/hollystage/standins/interpreter.py
@@ -1,4 +1,4 @@
-"""The interpreter: one that does as it is told, for tests, and one that works on its cores."""
+"""Stand-ins for the interpreter: one that a test controls, and one that runs RPCs for random times."""
 from __future__ import annotations
 
 import base64
@@ -16,7 +16,13 @@
 
 
 class Interpreter(StandIn):
-    """Keeps its notices and sends those after the offset on a new link. `auto` ends each run at once."""
+    """An interpreter that records commands and keeps its notices for reconnecting instances.
+
+    A new connection gets the banner and all notices after the offset that the instance names in CONNECT. With `auto`,
+    each run ends successfully as soon as it is requested. `fragment_bytes` splits each line after that many bytes; 0
+    sends whole lines. While `responsive` is false, TOP and SMOKE get no reply. With an empty `banner`, none is sent
+    and each command gets an ERROR.
+    """
 
     def __init__(self, auto: bool = True, banner: str = "old", address: Address | None = None) -> None:
         self.auto, self.banner, self.piece = auto, banner, 0
@@ -28,6 +34,7 @@
         super().__init__(address=address)
 
     def serve(self, sock: socket.socket) -> None:
+        """Handles the commands of one connection until it ends."""
         lines = sock.makefile("rb")
         for line in lines:
             command = json.loads(line)
@@ -45,19 +52,23 @@
             self.told(command)
 
     def remember(self, command: dict[str, Any]) -> None:
+        """Records a command for `commands`."""
         self.heard.append(command)
 
     def told(self, command: dict[str, Any]) -> None:
+        """Handles a command after it was recorded, without the lock."""
         if command["cmd"] == "APPLY" and self.auto:
             self.end(command["req"], b"ran " + base64.b64decode(command["payload"]))
 
     def come_up(self, banner: str) -> None:
+        """Sends this banner and all notices after the offset of the last CONNECT; sends nothing if it is empty."""
         self.banner = banner
         if banner:
             for notice in ({"cmd": "BANNER", "result": banner, "elapsed_ms": 0}, *self.notices[self.offset:]):
                 self.write(notice)
 
     def write(self, notice: dict[str, Any]) -> None:
+        """Writes a notice to the connection without keeping it. A closed connection is ignored."""
         data = json.dumps(notice).encode() + b"\n"
         for part in (data[:self.piece], data[self.piece:]) if self.piece else (data,):
             with contextlib.suppress(OSError):
@@ -65,27 +76,38 @@
             time.sleep(0.01 if self.piece else 0)
 
     def notice(self, cmd: str, req: str, payload: bytes = b"", **fields: Any) -> None:
+        """Keeps a notice under the next offset and sends it."""
         with self.lock:
             self.notices.append({"cmd": cmd, "offset": len(self.notices) + 1, "req": req,
                                  "payload": base64.b64encode(payload).decode()} | fields)
             self.write(self.notices[-1])
 
     def end(self, req: str, payload: bytes = b"", result: str = "good", elapsed_ms: float = 5.5) -> None:
+        """Sends the VALUE notice that ends a run."""
         self.notice("VALUE", req, payload, result=result, elapsed_ms=elapsed_ms)
 
     def got(self, cmd: str) -> list[dict[str, Any]]:
+        """Returns the received commands of one kind."""
         with self.lock:
             return [command for command in self.heard if command["cmd"] == cmd]
 
     def applied(self, many: int = 1) -> list[str]:
+        """Waits until at least this many runs were requested and returns the request ids of all of them."""
         commands = until(lambda: len(self.got("APPLY")) >= many and self.got("APPLY"))
         return [command["req"] for command in commands or []]
 
 
 class Worker(Interpreter):
-    """Runs on `cores` threads for random times about the mean that each method has (seconds); those in `calls`
-    make one call half way. Counts what it ran, by its body: the judge of runs that happened twice. One that was
-    just reset works at `cold` of its speed and warms up within `warm_s`; `slow` stretches everything."""
+    """An interpreter that runs RPCs on `cores` threads for random times.
+
+    Args:
+        work_s: mean run time of each method in seconds; 0.01 for others. Times are lognormal with sigma 0.5.
+        calling_methods: methods whose runs make one downstream call half way
+        cold_speed: speed right after a reset, as a share of full speed
+        warm_up_s: seconds from a reset until full speed
+
+    `run_counts` counts runs by RPC body, so that duplicate runs can be detected. `slowdown` multiplies run times.
+    """
 
     def __init__(self, cores: int, work_s: Mapping[str, float], calls: frozenset[str] = frozenset(), seed: int = 1,
                  address: Address | None = None, cold: float = 1.0, warm_s: float = 0.0) -> None:
@@ -93,7 +115,7 @@
         self.cold, self.warm_s, self.slow, self.begun = cold, warm_s, 1.0, time.monotonic() - warm_s
         self.chance = random.Random(seed)
         self.ready: SimpleQueue[dict[str, Any] | None] = SimpleQueue()
-        self.runs: dict[str, dict[str, Any]] = {}  # those that are not over
+        self.runs: dict[str, dict[str, Any]] = {}  # by request id
         self.ran: dict[bytes, int] = {}
         self.busy = 0
         super().__init__(auto=False, banner="new", address=address)
@@ -101,10 +123,11 @@
             threading.Thread(target=self._work, daemon=True).start()
 
     def remember(self, command: dict[str, Any]) -> None:
+        """Records nothing, so that memory stays bounded."""
         pass
 
     def reset(self) -> None:
-        """Gone with all it ran and knew, and up again, cold."""
+        """Discards all runs and notices, drops the connections and continues at the cold speed."""
         with self.lock:
             self.runs.clear()
             self.notices.clear()
@@ -112,24 +135,27 @@
         self.break_off()
 
     def pace(self) -> float:
-        """The factor by which everything takes longer just now."""
+        """Returns the factor by which run times are longer at present."""
         warm = min(1.0, (time.monotonic() - self.begun) / self.warm_s) if self.warm_s else 1.0
         return self.slow / (self.cold + (1 - self.cold) * warm)
 
-    def began(self, ident: str, body: bytes) -> None:
+    def began(self, request_id: str, body: bytes) -> None:
+        """Counts a run that was requested."""
         self.ran[body] = self.ran.get(body, 0) + 1
 
     def told(self, command: dict[str, Any]) -> None:
-        ident = command.get("req", "")
-        run = self.runs.get(ident)
+        """Starts, stops or resumes a run, or updates the load that the next TOP reports."""
+        request_id = command.get("req", "")
+        run = self.runs.get(request_id)
         match command["cmd"]:
             case "APPLY" if run is None:
                 body = base64.b64decode(command["payload"])
-                self.began(ident, body)
-                span = self.work_s.get(command["method"], 0.01) * self.chance.lognormvariate(-0.125, 0.5)
-                halves = 2 if command["method"] in self.calls else 1
-                run = self.runs[ident] = {"ident": ident, "body": body, "left": halves, "span": span / halves,
-                                          "begun": time.monotonic(), "stopped": False}
+                self.began(request_id, body)
+                duration = self.work_s.get(command["method"], 0.01) * self.chance.lognormvariate(-0.125, 0.5)
+                parts = 2 if command["method"] in self.calls else 1
+                run = self.runs[request_id] = {"ident": request_id, "body": body, "left": parts,
+                                               "span": duration / parts, "begun": time.monotonic(),
+                                               "stopped": False}
                 self.ready.put(run)
             case "BREAK" if run is not None:
                 run["stopped"] = True
@@ -147,21 +173,22 @@
                 time.sleep(run["span"] * self.pace())
             self.busy -= 1
             run["left"] -= 1
-            ident = run["ident"]
-            if self.runs.get(ident) is not run:  # reset meanwhile
+            request_id = run["ident"]
+            if self.runs.get(request_id) is not run:  # discarded by a reset
                 continue
             if run["left"] and not run["stopped"]:
                 run["waits"] = True
-                self.notice("AWAIT", ident, b"for " + run["body"])
+                self.notice("AWAIT", request_id, b"for " + run["body"])
                 continue
-            del self.runs[ident]
-            spent = (time.monotonic() - run["begun"]) * 1000
+            del self.runs[request_id]
+            elapsed_ms = (time.monotonic() - run["begun"]) * 1000
             if run["stopped"]:
-                self.end(ident, b"", "cut", spent)
+                self.end(request_id, b"", "cut", elapsed_ms)
             else:
-                self.end(ident, b"ran " + run["body"], "good", spent)
+                self.end(request_id, b"ran " + run["body"], "good", elapsed_ms)
 
     def close(self) -> None:
+        """Ends all threads and closes the server."""
         for _ in range(self.cores):
             self.ready.put(None)
         super().close()
--- a/hollystage/standins/ledger.py
+++ b/hollystage/standins/ledger.py
@@ -1,7 +1,7 @@
-"""A ledger that slows and recovers on command: the model, in virtual time, and a server that goes by it.
+"""A stand-in for the ledger: a model in virtual time and an HTTP server that runs the model in real time.
 
-The model is the judge: it counts what it held, what it answered, and for how long it was more crowded than it
-survives.
+Service times can be changed while it runs, and it can crash and recover. The model counts the calls that it received,
+answered and refused, and the time for which it was overloaded.
 """
 from __future__ import annotations
 
@@ -22,37 +22,41 @@
 
 @dataclass(slots=True)
 class Terms:
-    """What the ledger can take; times in microseconds."""
+    """Capacity and faults of a ledger; times are microseconds."""
 
     slots: int = 20
-    mean: int = 40_000
+    mean: int = 40_000  # service time
     spread: float = 0.4  # sigma of the lognormal service time
-    crowd: float = 3.0  # times the slots that it survives for `patience`
-    patience: int = 2_000_000
-    down: int = 5_000_000  # how long it is gone after that
-    lost: float = 0.0  # share of replies that never come
-    refuses: bool = False  # what is more than the crowd is turned away, and it never dies
+    crowd: float = 3.0  # calls per slot above which it is overloaded
+    patience: int = 2_000_000  # it crashes when it is overloaded for longer
+    down: int = 5_000_000  # duration of a crash
+    lost: float = 0.0  # share of replies that are lost
+    refuses: bool = False  # refuse calls above `crowd` per slot instead of crashing
 
 
 class Mood(Enum):
+    """Whether the ledger accepts connections."""
+
     UP = "up"
     DOWN = "down"
 
 
 @dataclass(slots=True)
 class Judge:
+    """Counts of the calls of a ledger."""
+
     calls: int = 0
     answered: int = 0
     refused: int = 0
     lost: int = 0
     deaths: int = 0
     most: int = 0
-    crowded: int = 0  # microseconds over the crowd
+    crowded: int = 0  # microseconds
     by_class: dict[str, int] = field(default_factory=dict)
 
 
 class LedgerModel:
-    """Calls share the slots; `call` answers through a callback in virtual time."""
+    """A ledger in virtual time whose calls share the slots. Outcomes are passed to callbacks."""
 
     def __init__(self, clock: Clock, terms: Terms, seed: int = 1) -> None:
         self.clock, self.terms, self.chance = clock, terms, random.Random(seed)
@@ -63,67 +67,68 @@
         self.crowded_since: int | None = None
         self.number = self.version = 0
 
-    def call(self, kind: str, answer: Answer) -> int:
-        """The number of the call, for `give_up`; the answer may come at once."""
+    def call(self, kind: str, callback: Answer) -> int:
+        """Starts a call of an RPC class and returns its number, for `abandon`. May run the callback immediately."""
         self.number += 1
         number, judge = self.number, self.judge
         judge.calls += 1
         judge.by_class[kind] = judge.by_class.get(kind, 0) + 1
         if self.mood is Mood.DOWN:
             judge.refused += 1
-            answer(Outcome.CONNECT_FAILED)
+            callback(Outcome.CONNECT_FAILED)
             return number
         if self.terms.refuses and len(self.work) >= self.terms.slots * self.terms.crowd:
             judge.refused += 1
-            answer(Outcome.FULL)
+            callback(Outcome.FULL)
             return number
-        spread = self.terms.spread
-        work = self.terms.mean * self.chance.lognormvariate(-spread * spread / 2, spread)
-        self.open[number] = answer
+        sigma = self.terms.spread
+        work = self.terms.mean * self.chance.lognormvariate(-sigma * sigma / 2, sigma)
+        self.open[number] = callback
         self.work.add(number, work * self.slow_class.get(kind, 1.0), self.clock.now)
         self._changed()
         return number
 
     def give_up(self, number: int) -> None:
-        """The caller no longer waits; the work goes on, as in a real one."""
+        """Ends the caller's wait. The work continues, as in a real ledger, which cannot see that a caller gave up."""
         self.open.pop(number, None)
 
     def slow(self, factor: float, kind: str | None = None) -> None:
-        """From now on everything, or one class, takes `factor` times as long."""
+        """Sets the factor by which all calls, or those of one class, take longer from now on."""
         if kind is None:
             self.work.set_slow(factor, self.clock.now)
         else:
             self.slow_class[kind] = factor
         self._changed()
 
-    def die(self, span: int) -> None:
-        """Ends all calls, and refuses connections for `span`."""
+    def die(self, duration: int) -> None:
+        """Resets all calls and refuses connections for a time."""
         self.judge.deaths += 1
         self.mood = Mood.DOWN
-        answers, self.open = list(self.open.values()), {}
+        callbacks, self.open = list(self.open.values()), {}
         for number in list(self.work.left):
             self.work.remove(number, self.clock.now)
         self.crowded_since = None
-        self.clock.at(self.clock.now + span, self.come_back)
-        for answer in answers:
-            answer(Outcome.RESET)
+        self.clock.at(self.clock.now + duration, self.come_back)
+        for callback in callbacks:
+            callback(Outcome.RESET)
         self._changed()
 
     def come_back(self) -> None:
+        """Accepts connections again after a crash."""
         self.mood = Mood.UP
 
     def _changed(self) -> None:
-        held, now, terms = len(self.work), self.clock.now, self.terms
-        self.judge.most = max(self.judge.most, held)
-        if held > terms.slots * terms.crowd:
+        count, now, parameters = len(self.work), self.clock.now, self.terms
+        self.judge.most = max(self.judge.most, count)
+        if count > parameters.slots * parameters.crowd:
             if self.crowded_since is None:
                 self.crowded_since = now
         elif self.crowded_since is not None:
             self.judge.crowded += now - self.crowded_since
             self.crowded_since = None
-        if self.crowded_since is not None and now - self.crowded_since > terms.patience:
+        if self.crowded_since is not None and now - self.crowded_since > parameters.patience:
             self.judge.crowded += now - self.crowded_since
-            self.die(terms.down)
+            self.die(parameters.down)
             return
         self.version += 1
         version = self.version
@@ -133,19 +138,19 @@
         if version != self.version:
             return
         for number in self.work.ended(self.clock.now):
-            answer = self.open.pop(number, None)
-            if answer is None:
+            callback = self.open.pop(number, None)
+            if callback is None:
                 continue
             if self.chance.random() < self.terms.lost:
                 self.judge.lost += 1
             else:
                 self.judge.answered += 1
-                answer(Outcome.OK)
+                callback(Outcome.OK)
         self._changed()
 
 
 class Ledger(Http):
-    """The model on a socket, in real time: a thread waits for each answer."""
+    """An HTTP server that runs a `LedgerModel` in real time; the thread of a connection waits for the outcome."""
 
     def __init__(self, terms: Terms, seed: int = 1, address: Address | None = None) -> None:
         self.lock = threading.Lock()
@@ -159,24 +164,29 @@
     def _now() -> int:
         return time.monotonic_ns() // 1000
 
-    def command(self, what: Callable[[LedgerModel], None]) -> None:
-        """Slows, kills or mends it, under its lock."""
+    def command(self, change: Callable[[LedgerModel], None]) -> None:
+        """Applies a change to the model under the lock."""
         with self.lock:
             self.clock.run(self._now())
-            what(self.model)
+            change(self.model)
 
     def answer(self, request: Request) -> bytes:
-        over, outcomes = threading.Event(), []
+        """Passes a call to the model and waits for its outcome: 200, 503 if it is full, 504 after the limit.
+
+        Raises:
+            OSError: the model is down or crashed; the connection ends without a reply.
+        """
+        ended, outcomes = threading.Event(), []
 
-        def take(outcome: Outcome) -> None:
+        def on_outcome(outcome: Outcome) -> None:
             outcomes.append(outcome)
-            over.set()
+            ended.set()
 
-        limit = min(60.0, int(request.fields.get("x-limit-ms", "60000")) / 1000)
+        limit_s = min(60.0, int(request.fields.get("x-limit-ms", "60000")) / 1000)
         with self.lock:
             self.clock.run(self._now())
-            number = self.model.call(request.fields.get("x-class", ""), take)
-        if not over.wait(limit):
+            number = self.model.call(request.fields.get("x-class", ""), on_outcome)
+        if not ended.wait(limit_s):
             with self.lock:
                 self.model.give_up(number)
             return reply(504)
@@ -186,7 +196,7 @@
             case Outcome.FULL:
                 return reply(503, X_Untouched="1")
             case _:
-                raise OSError("the ledger is down")  # ends the connection
+                raise OSError("the ledger is down")
 
     def _turn(self) -> None:
         while not self.stopped.wait(0.002):
@@ -194,5 +204,6 @@
                 self.clock.run(self._now())
 
     def close(self) -> None:
+        """Stops the clock and closes the server."""
         self.stopped.set()
         super().close()
--- a/hollystage/standins/peers.py
+++ b/hollystage/standins/peers.py
@@ -1,4 +1,4 @@
-"""The ledger and the control plane as they are on a good day."""
+"""Stand-ins for a ledger and a control plane that always work."""
 from __future__ import annotations
 
 import json
@@ -9,20 +9,21 @@
 
 
 class SteadyLedger(Http):
-    """Takes the same time (seconds) for every call; counts them."""
+    """A ledger that answers every call after the same time, and counts the calls."""
 
     def __init__(self, takes_s: float = 0.005) -> None:
         self.takes_s, self.calls = takes_s, 0
         super().__init__()
 
     def answer(self, request: Request) -> bytes:
+        """Answers one call."""
         time.sleep(self.takes_s)
         self.calls += 1
         return reply(200, b"posted")
 
 
 class ControlPlane(Http):
-    """Remembers what each instance last reported."""
+    """A control plane that keeps the last report of each instance, and lists the ready instances on GET."""
 
     LAPSES_S = 3.0
 
@@ -32,6 +33,7 @@
         super().__init__(address=address)
 
     def answer(self, request: Request) -> bytes:
+        """Returns the list, or stores a report."""
         if request.verb == "GET":
             return reply(200, json.dumps(self.listed()).encode())
         name = request.path.rpartition("/")[2]
@@ -39,7 +41,7 @@
         return reply(204)
 
     def listed(self) -> list[str]:
-        """Those that take work, as far as they reported lately."""
+        """Returns the names of instances that reported Ready within `REPORT_LIFETIME_S`."""
         now = time.monotonic()
         return sorted(name for name, condition in list(self.reported.items())
                       if condition == "Ready" and now - self.at[name] < self.LAPSES_S)
--- a/hollystage/standins/server.py
+++ b/hollystage/standins/server.py
@@ -1,4 +1,4 @@
-"""A server on 127.0.0.1, a thread a connection; what the other stand-ins are made of."""
+"""Base classes of the stand-ins: servers on loopback with one thread per connection."""
 from __future__ import annotations
 
 import contextlib
@@ -16,28 +16,34 @@
 
 
 def free_address() -> Address:
-    """An address that nobody listens at just now."""
+    """Returns an address at which no server listens at present."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         name = sock.getsockname()
         return name[0], name[1]
 
 
-def until(true: Callable[[], T], patience: float = 5.0) -> T:
-    """Waits, up to `patience` seconds, for what other threads bring about, and returns it.
+def until(condition: Callable[[], T], timeout: float = 5.0) -> T:
+    """Polls a condition until its value is true and returns the value.
+
+    Args:
+        timeout: seconds
 
     Raises:
-        AssertionError: it never came about.
+        AssertionError: the condition did not become true in time.
     """
-    end = time.monotonic() + patience
-    while not (value := true()):
+    end = time.monotonic() + timeout
+    while not (value := condition()):
         if time.monotonic() > end:
-            raise AssertionError("it never came about")
+            raise AssertionError("the condition did not become true in time")
         time.sleep(0.002)
     return value
 
 
 class StandIn:
-    """`serve` runs in a thread for each connection; `heard` keeps what came in."""
+    """A server that runs `serve` in a thread for each connection.
+
+    `received` holds what subclasses record; `closed_connections` the last 100 connections that ended.
+    """
 
     def __init__(self, listening: bool = True, address: Address | None = None) -> None:
         self.address = address or free_address()
@@ -49,13 +55,16 @@
             self.listen()
 
     def serve(self, sock: socket.socket) -> None:
+        """Serves one connection until it ends."""
         raise NotImplementedError
 
     def listen(self) -> None:
+        """Starts to accept connections at `address`."""
         self.listener = socket.create_server(self.address, backlog=256)
         threading.Thread(target=self.accept, args=(self.listener,), daemon=True).start()
 
     def accept(self, listener: socket.socket) -> None:
+        """Accepts connections until the listener is closed."""
         with contextlib.suppress(OSError):
             while True:
                 sock, _ = listener.accept()
@@ -64,18 +73,20 @@
                 threading.Thread(target=self.guarded, args=(sock,), daemon=True).start()
 
     def guarded(self, sock: socket.socket) -> None:
+        """Serves one connection, with errors of the connection suppressed."""
         with contextlib.suppress(OSError, Broken):
             self.serve(sock)
         self.ended = [*self.ended[-99:], sock]
 
     def break_off(self) -> None:
-        """Ends every connection."""
+        """Shuts down all connections."""
         for sock in self.open:
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
         self.open = []
 
     def close(self) -> None:
+        """Stops listening and shuts down all connections."""
         if self.listener is not None:
             with contextlib.suppress(OSError):
                 self.listener.shutdown(socket.SHUT_RDWR)
@@ -84,30 +95,36 @@
 
 
 class Answering(StandIn):
-    """An HTTP server that gives `replies` in turn, the last one again and again; None for none, b"" closes."""
+    """An HTTP server that records requests and sends `replies` in order, the last one for all further requests.
+
+    None stands for no reply, b"" closes the connection.
+    """
 
     def __init__(self, *replies: bytes | None, listening: bool = True) -> None:
         self.replies = list(replies)
         super().__init__(listening)
 
     def serve(self, sock: socket.socket) -> None:
+        """Reads requests and sends the next reply to each."""
         stream = Stream(sock, bytearray(1 << 14))
         while True:
             self.heard.append(read_request(stream, time.monotonic() + 20))
-            given = self.replies.pop(0) if len(self.replies) > 1 else self.replies[0]
-            if given is not None:
-                sock.sendall(given)
-            if given == b"":
+            data = self.replies.pop(0) if len(self.replies) > 1 else self.replies[0]
+            if data is not None:
+                sock.sendall(data)
+            if data == b"":
                 sock.close()
 
 
 class Http(StandIn):
-    """An HTTP server whose `answer` makes each reply; keeps no message."""
+    """An HTTP server whose subclasses make each reply in `handle_request`. Requests are not recorded."""
 
     def answer(self, request: Request) -> bytes:
+        """Returns the whole response to a request."""
         raise NotImplementedError
 
     def serve(self, sock: socket.socket) -> None:
+        """Answers the requests of one connection."""
         stream = Stream(sock, bytearray(1 << 14))
         with sock:
             while True:
@@ -118,4 +135,5 @@
 
 
 def reply(status: int, body: bytes = b"", **fields: str) -> bytes:
+    """Encodes a response that keeps the connection open; header fields have underscores for hyphens."""
     return write_response(status, {name.replace("_", "-"): value for name, value in fields.items()}, body, True)
--- a/hollystage/standins/sharing.py
+++ b/hollystage/standins/sharing.py
@@ -1,7 +1,8 @@
-"""Work that shares a machine evenly, in virtual time: the model of cores and of a ledger's slots.
+"""Processor sharing in virtual time: the model of an instance's cores and of a ledger's slots.
 
-All jobs go at one rate, so the clock of the work they get is one number; a job ends when that clock reaches the
-value it had at the job's start plus the job's work. Every change costs a heap operation, whatever the number of jobs.
+All jobs are served at the same rate, so one number, the attained service, describes their progress. A job completes
+when the attained service reaches its value at the job's start plus the job's work. A change costs one heap operation,
+whatever the number of jobs.
 """
 from __future__ import annotations
 
@@ -12,44 +13,52 @@
 
 
 class Sharing:
-    """`places` jobs go at full speed at once; beyond that all slow alike, and by `drag` for each job too many."""
+    """A server that serves up to `slots` jobs at full speed and shares its capacity evenly among more.
 
-    def __init__(self, places: int, drag: float = 0.0) -> None:
-        self.places, self.drag = places, drag
-        self.slow = 1.0  # the factor that every job takes longer by
+    Each job above `slots` reduces the speed of all by a further term, `overload_penalty`.
+    """
+
+    def __init__(self, slots: int, overload_penalty: float = 0.0) -> None:
+        self.places, self.drag = slots, overload_penalty
+        self.slow = 1.0  # factor by which every job takes longer
         self.at, self.done = 0, 0.0
         self.heap: list[tuple[float, int]] = []
-        self.left: dict[int, float] = {}  # the clock of the work at which a job ends
+        self.left: dict[int, float] = {}  # attained service at which each job completes
 
     def __len__(self) -> int:
         return len(self.left)
 
     def rate(self) -> float:
+        """Returns the speed at which each job is served, 1 for full speed."""
         count = len(self.left)
         if count <= self.places:
             return 1 / self.slow
         return self.places / count / (1 + self.drag * (count - self.places)) / self.slow
 
     def advance(self, now: int) -> None:
+        """Adds the service since the last call."""
         if now > self.at:
             self.done += (now - self.at) * self.rate()
             self.at = now
 
     def add(self, job: int, work: float, now: int) -> None:
+        """Starts a job that takes `work` microseconds at full speed."""
         self.advance(now)
         self.left[job] = self.done + work
         heappush(self.heap, (self.done + work, job))
 
     def remove(self, job: int, now: int) -> bool:
+        """Removes a job; returns whether it was in service."""
         self.advance(now)
         return self.left.pop(job, None) is not None
 
-    def set_slow(self, slow: float, now: int) -> None:
+    def set_slow(self, factor: float, now: int) -> None:
+        """Sets the factor by which all jobs take longer from now on."""
         self.advance(now)
-        self.slow = slow
+        self.slow = factor
 
     def next_end(self) -> int:
-        """When the next job ends if nothing changes."""
+        """Returns the time at which the next job completes if nothing changes; `NEVER` without jobs."""
         while self.heap and self.left.get(self.heap[0][1]) != self.heap[0][0]:
             heappop(self.heap)
         if not self.heap:
@@ -57,29 +66,32 @@
         return self.at + max(0, int((self.heap[0][0] - self.done) / self.rate()) + 1)
 
     def ended(self, now: int) -> list[int]:
+        """Removes and returns the jobs that have completed."""
         self.advance(now)
-        over: list[int] = []
+        completed: list[int] = []
         while self.heap and self.heap[0][0] <= self.done:
             end, job = heappop(self.heap)
             if self.left.get(job) == end:
                 del self.left[job]
-                over.append(job)
-        return over
+                completed.append(job)
+        return completed
 
 
 class Clock:
-    """A heap of what will happen; `run` lets it happen in order."""
+    """Clock and event queue of a discrete-event simulation."""
 
     def __init__(self, now: int = 0) -> None:
         self.now, self.count = now, 0
         self.heap: list[tuple[int, int, Callable[[], None]]] = []
 
-    def at(self, when: int, what: Callable[[], None]) -> None:
+    def at(self, time: int, function: Callable[[], None]) -> None:
+        """Calls a function at a time; functions of the same time are called in the order of registration."""
         self.count += 1
-        heappush(self.heap, (max(when, self.now), self.count, what))
+        heappush(self.heap, (max(time, self.now), self.count, function))
 
     def run(self, until: int) -> None:
+        """Advances the clock and calls everything that is due on the way."""
         while self.heap and self.heap[0][0] <= until:
-            self.now, _, what = heappop(self.heap)
-            what()
+            self.now, _, function = heappop(self.heap)
+            function()
         self.now = until
--- a/tests/test_call_sum.py
+++ b/tests/test_call_sum.py
@@ -1,4 +1,4 @@
-"""The calls that many instances have under way together, none of which hears of another, against what they may."""
+"""Processes that exchange no messages keep the total of their downstream calls near the sum of their limits."""
 from math import ceil
 
 import pytest
@@ -9,19 +9,19 @@
 
 @pytest.mark.parametrize("share", [0.3, 1.2])
 @pytest.mark.parametrize("processes", [1, 5, 20, 30])
-def test_the_sum_over_all_processes_keeps_to_the_whole(processes, share):
+def test_total_of_calls_stays_near_the_sum_of_the_limits(processes, share):
     fleet = CallSum(processes, share, seed=processes).run(9)
-    assert fleet.worst_mean() <= fleet.allowed  # 5 s, as the settings name them
-    assert fleet.worst_mean() > 0.5 * fleet.whole - 1  # and it is used
+    assert fleet.worst_mean() <= fleet.allowed  # over 5 s, the span in the settings
+    assert fleet.worst_mean() > 0.5 * fleet.whole - 1  # and the limits are used
 
 
 @pytest.mark.parametrize("share", [0.1, 0.3])
-def test_first_calls_do_not_come_in_step(share):
+def test_first_calls_of_the_processes_are_spread_over_time(share):
     fleet = CallSum(30, share, seed=3).run(3)
     assert max(fleet.ledger.held) <= 1.5 * fleet.allowed and fleet.calls() > 10
 
 
-def test_a_service_below_that_turns_slow_is_not_held_by_one_call_of_each_process():
+def test_ledger_that_slows_down_does_not_get_one_call_of_each_process():
     fleet = CallSum(30, 0.1, seed=5, slow_from=4).run(10)
     assert fleet.worst_mean() <= fleet.allowed
 
@@ -38,11 +38,11 @@
 
 
 @pytest.mark.parametrize("fault", [rounded_up, without_debt])
-def test_the_judge_sees_seeded_faults(monkeypatch, fault):
-    begin = Control.__init__
+def test_checks_detect_seeded_faults(monkeypatch, fault):
+    init = Control.__init__
 
     def faulty(control, settings, seed, now):
-        begin(control, settings, seed, now)
+        init(control, settings, seed, now)
         fault(control.pacer)
 
     monkeypatch.setattr(Control, "__init__", faulty)
