--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -1,10 +1,10 @@
-"""Budgets measured: scenes of real processes, and what is used, moved and said in virtual time.
+"""Benchmarks of fleet-wide budgets, with real processes and in virtual time.
 
-    python benchmarks/budgets.py scenes [MEMBERS] [SEEDS]  the hard cases, real processes, judged by the ledger
-    python benchmarks/budgets.py use                          units in use beside fixed shares and one that knows all
-    python benchmarks/budgets.py sizes                        messages, bytes and times at 10 to 3,000 processes
-    python benchmarks/budgets.py times                        a dead one's part, a newcomer's first unit
-    python benchmarks/budgets.py storms [HOW MANY]            drawn histories; 0 past the whole
+    python benchmarks/budgets.py scenes [MEMBERS] [SEEDS]  budget scenes with real processes, checked at the ledger
+    python benchmarks/budgets.py use                       units in use, compared with fixed shares and the optimum
+    python benchmarks/budgets.py sizes                     messages and reallocation times for 10 to 3,000 processes
+    python benchmarks/budgets.py times                     time until a new process may use its first unit
+    python benchmarks/budgets.py storms [COUNT]            random fault histories; none may exceed the total
 """
 from __future__ import annotations
 
@@ -23,86 +23,90 @@
 
 
 def scenes(members: int = 12, seeds: int = 1) -> None:
-    def play(job):
+    """Runs all budget scenes with real processes and prints the violations of each run."""
+    def run_scene(job):
         name, seed = job
         command = [sys.executable, "-m", "hollystage", "lab", "fleet", "--scene", name, "--members", str(members),
                    "--seed", str(seed), "--json"]
-        done = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, timeout=180)
-        return name, seed, json.loads(done.stdout) if done.stdout else {"violations": [done.stderr[-300:]]}
+        process = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, timeout=180)
+        return name, seed, json.loads(process.stdout) if process.stdout else {"violations": [process.stderr[-300:]]}
     jobs = [(name, seed) for seed in range(1, seeds + 1) for name in SHARED]
     with ThreadPoolExecutor(3) as pool:
-        for name, seed, found in pool.map(play, jobs):
-            budget = found.get("measured", {}).get("budget", {})
-            answers = found.get("measured", {}).get("answers", {})
-            print(f"{name:36} seed {seed}  violations {len(found['violations'])}  whole {budget.get('whole')}  "
-                  f"peak {budget.get('peak')}  used {budget.get('used')}  least {budget.get('least')}  "
+        for name, seed, report in pool.map(run_scene, jobs):
+            budget = report.get("measured", {}).get("budget", {})
+            answers = report.get("measured", {}).get("answers", {})
+            print(f"{name:36} seed {seed}  violations {len(report['violations'])}  total {budget.get('whole')}  "
+                  f"peak {budget.get('peak')}  mean {budget.get('used')}  minimum {budget.get('least')}  "
                   f"ok {answers.get('ok')}", flush=True)
-            for one in found["violations"][:3]:
-                print("    ", one, flush=True)
+            for violation in report["violations"][:3]:
+                print("    ", violation, flush=True)
 
 
-def needs(world, kind, second):
-    """The need of each at this second; in all a little more than the whole."""
-    size, whole = len(world.names), world.budgets[0].whole
-    heavy = {"still": size - 1, "jumps": second // 5 * 5 % size}.get(kind, size - 1)
-    return [0.6 * whole if n == heavy else 0.6 * whole / (size - 1) for n in range(size)]
+def needs(world, pattern, second):
+    """Returns the need of each process in this second: 1.2 times the total, half of it at one process."""
+    size, total = len(world.names), world.budgets[0].whole
+    heavy = {"still": size - 1, "jumps": second // 5 * 5 % size}.get(pattern, size - 1)
+    return [0.6 * total if n == heavy else 0.6 * total / (size - 1) for n in range(size)]
 
 
 def use() -> None:
-    print("units in use at once, mean of 30 s; 12 processes, whole 48, each use 30 to 300 ms")
-    for kind in ("still", "jumps", "third gone"):
-        got = {}
-        for how in ("divided", "fixed"):
+    """Compares the units in use under allocation with fixed shares and with the optimum."""
+    print("units in use, mean over 30 s; 12 processes, total 48, each use 30 to 300 ms")
+    for pattern in ("still", "jumps", "third killed"):
+        means = {}
+        for method in ("divided", "fixed"):
             world = World(11, 12, [calls(whole=48, most=12, use=300_000)])
             world.run(6)
-            if kind == "third gone":
+            if pattern == "third killed":
                 for name in world.names[3:7]:
                     world.kill(name)
                 world.run(4)
-            total = best = 0.0
+            total = optimum = 0.0
             for second in range(30):
-                rows = needs(world, kind, second)
+                wanted = needs(world, pattern, second)
                 alive = [n for n, name in enumerate(world.names) if world.nodes[name].up]
                 for n in alive:
-                    world.nodes[world.names[n]].need = rows[n] * (1.5 if kind == "third gone" else 1)
-                if how == "divided":
+                    world.nodes[world.names[n]].need = wanted[n] * (1.5 if pattern == "third killed" else 1)
+                if method == "divided":
                     total += world.used(1.0)
                 else:
                     total += sum(min(4.0, int(world.nodes[world.names[n]].need)) for n in alive)
-                best += min(48, sum(int(world.nodes[world.names[n]].need) for n in alive))
-            got[how] = total / 30
-            got["knows all"] = best / 30
-        print(f"{kind:12} divided {got['divided']:5.1f}  fixed shares {got['fixed']:5.1f}  knows all "
-              f"{got['knows all']:5.1f}  of it {got['divided'] / got['knows all']:.2f}", flush=True)
+                optimum += min(48, sum(int(world.nodes[world.names[n]].need) for n in alive))
+            means[method] = total / 30
+            means["best possible"] = optimum / 30
+        print(f"{pattern:12} allocated {means['divided']:5.1f}  fixed shares {means['fixed']:5.1f}  optimum "
+              f"{means['best possible']:5.1f}  ratio {means['divided'] / means['best possible']:.2f}", flush=True)
 
 
 def sizes() -> None:
+    """Measures message rate, time of a reallocation and CPU use for several sizes of the fleet."""
     for size in (10, 100, 1_000, 3_000):
         whole = 4 * size
         world = World(5, size, [calls(whole=whole, most=size, use=300_000)], voters=5)
-        begun = time.monotonic()
+        started_at = time.monotonic()
         for name in world.names:
             world.nodes[name].need = 3
         world.run(6)
-        before = sum(node.sent for node in world.nodes.values())
-        real = time.monotonic()
+        sent_before = sum(node.sent for node in world.nodes.values())
+        measured_from = time.monotonic()
         world.run(2)
-        sent = sum(node.sent for node in world.nodes.values()) - before
-        spent = time.monotonic() - real
-        # one half lose their need, the others want twice as much: until they use nine tenths of it
+        sent = sum(node.sent for node in world.nodes.values()) - sent_before
+        elapsed = time.monotonic() - measured_from
+        # half of the processes lose their need, that of the others doubles: run until 0.9 of it is in use
         for n, name in enumerate(world.names):
             world.nodes[name].need = 0 if n % 2 else 6
-        wanting, moved = [world.nodes[name] for name in world.names[::2]], 0
-        while sum(node.using["calls"] for node in wanting) < 0.9 * 6 * len(wanting) and moved < 100:
+        needy, steps = [world.nodes[name] for name in world.names[::2]], 0
+        while sum(node.using["calls"] for node in needy) < 0.9 * 6 * len(needy) and steps < 100:
             world.run(0.1)
-            moved += 1
-        print(f"{size:5} processes: {sent / size / 2:.1f} messages a process and second, violations "
-              f"{len(world.violations)}, divided anew within {moved / 10:.1f} s, {spent / 2:.1f} s of CPU a second "
-              f"for all, {time.monotonic() - begun:.0f} s", flush=True)
+            steps += 1
+        print(f"{size:5} processes: {sent / size / 2:.1f} messages per process and second, violations "
+              f"{len(world.violations)}, reallocated within {steps / 10:.1f} s, {elapsed / 2:.1f} s of CPU "
+              f"per second for all, {time.monotonic() - started_at:.0f} s", flush=True)
 
 
 def times() -> None:
-    found = []
+    """Measures the time from the start of a process until it may use its first unit."""
+    delays = []
     for seed in range(20):
         world = World(seed, 6, [calls(whole=30, most=6)])
         for node in world.nodes.values():
@@ -113,19 +117,20 @@
         node = world.start("m4")
         node.need = 30
         world.run(1)
-        found.append((node.first - node.began) / 1000 if node.first is not None else 1e9)
+        delays.append((node.first - node.began) / 1000 if node.first is not None else 1e9)
         assert not world.violations
-    found.sort()
-    print(f"a newcomer's first unit: median {found[10]:.0f} ms, most {found[-1]:.0f} ms, 20 starts")
+    delays.sort()
+    print(f"first unit of a new process: median {delays[10]:.0f} ms, maximum {delays[-1]:.0f} ms, 20 starts")
 
 
-def storms(many: int = 400) -> None:
+def storms(count: int = 400) -> None:
+    """Runs random fault histories and prints how many exceed the total."""
     from test_budgets import storm
 
-    bad = [seed for seed in range(1_000, 1_000 + many) if storm(seed, 3 + seed % 12, floor=seed % 2).violations]
-    print(f"{many} drawn histories of 16 s, 3 to 14 processes: past the whole in {len(bad)} {bad[:5]}")
+    bad = [seed for seed in range(1_000, 1_000 + count) if storm(seed, 3 + seed % 12, floor=seed % 2).violations]
+    print(f"{count} random histories of 16 s, 3 to 14 processes: total exceeded in {len(bad)} {bad[:5]}")
 
 
 if __name__ == "__main__":
-    what, *more = sys.argv[1:] or ["use"]
-    {"scenes": scenes, "use": use, "sizes": sizes, "times": times, "storms": storms}[what](*map(int, more))
+    verb, *arguments = sys.argv[1:] or ["use"]
+    {"scenes": scenes, "use": use, "sizes": sizes, "times": times, "storms": storms}[verb](*map(int, arguments))
--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -1,16 +1,17 @@
-"""Coming back measured, in virtual time and with real processes.
+"""Benchmarks of the recovery after a restart of many instances, in virtual time and with real processes.
 
     python benchmarks/comeback.py virtual [--count 12] [--seeds 10] [--cases "nine at once;all at once"]
-    python benchmarks/comeback.py ramps [--count 12]              fixed linear ramps, a sweep
-    python benchmarks/comeback.py real [--runs 10]                 scenes of real processes
-    python benchmarks/comeback.py repeats [--kills 1000]           kill -9 and restart with repeats in flight
-    python benchmarks/comeback.py breaks                           each seeded fault in the scene that shows it
-    python benchmarks/comeback.py plot FILE                        one coming back beside today's, as a PNG
-    python benchmarks/comeback.py snapshot                         what a snapshot costs
-
-Policies: `today` (no peers, no state), `linear R` (calls of a restarted instance grow evenly over R seconds), `ours`.
-The bound lets every machine that is up work all the time at its present speed for what is worth most, with a balancer
-that sees everything. Time to full service: the first second from which on the mean of five seconds is 95% of before.
+    python benchmarks/comeback.py ramps [--count 12]               sweep of fixed linear ramps
+    python benchmarks/comeback.py real [--runs 10]                 recovery scenes with real processes
+    python benchmarks/comeback.py repeats [--kills 1000]           kill -9 and restart while RPCs are retried
+    python benchmarks/comeback.py breaks                           each seeded fault in a scene that detects it
+    python benchmarks/comeback.py plot FILE                        the policies `today` and `ours`, as a PNG
+    python benchmarks/comeback.py snapshot                         cost of a snapshot
+
+Policies: `today` uses neither peers nor stored state, `linear R` raises the calls of a restarted instance linearly
+over R seconds, `ours` is the recovery of this project. The upper bound assumes that each running machine always works
+at its present speed on the most critical RPCs, behind a load balancer with complete knowledge. Time to full service
+is the first second from which the mean over five seconds is at least 95% of the mean before the fault.
 """
 from __future__ import annotations
 
@@ -37,126 +38,139 @@
 from hollystage.standins.fleet.faults import Fault, Schedule  # noqa: E402
 
 app = typer.Typer(add_completion=False)
-BEFORE, AFTER = 8, 36  # seconds that are judged
+BASELINE_S, MEASURED_S = 8, 36  # before and after the fault
 
 
-def spread(values: list[float]) -> str:
-    good = [value for value in values if not math.isnan(value)]
-    if len(good) < 2:
-        return f"{good[0]:.2f}" if good else "-"
+def mean_and_interval(values: list[float]) -> str:
+    """Returns the mean and the half-width of its 95% interval (Student's t), without NaN values."""
+    known = [value for value in values if not math.isnan(value)]
+    if len(known) < 2:
+        return f"{known[0]:.2f}" if known else "-"
     from scipy import stats
-    half = stats.t.ppf(0.975, len(good) - 1) * statistics.stdev(good) / math.sqrt(len(good))
-    return f"{statistics.mean(good):.2f} ± {half:.2f}"
+    half = stats.t.ppf(0.975, len(known) - 1) * statistics.stdev(known) / math.sqrt(len(known))
+    return f"{statistics.mean(known):.2f} ± {half:.2f}"
 
 
-class Linear:
-    """Calls of a restarted instance grow evenly over some seconds, whatever comes of it."""
+class LinearRamp:
+    """Raises the call limit of a restarted instance linearly over some seconds, without feedback."""
 
     def __init__(self, instance: Instance, seconds: float) -> None:
-        self.instance, self.span = instance, seconds * 1e6
+        self.instance, self.duration = instance, seconds * 1e6
         limit = instance.control.below
-        self.least, self.most = limit.least, limit.most
+        self.min_limit, self.max_limit = limit.least, limit.most
 
-    def refuses(self, ask: Any, now: int) -> bool:
+    def refuses(self, caller_rpc: Any, now: int) -> bool:
+        """Refuses no RPC."""
         return False
 
     def tick(self, now: int) -> None:
+        """Sets the limit that belongs to this time."""
         if self.instance.settings.cold:
-            share = min(1.0, 0.05 + (now - self.instance.born) / self.span)
-            self.instance.control.below.bound(min(self.least, self.most * share), self.most * share)
+            share = min(1.0, 0.05 + (now - self.instance.born) / self.duration)
+            self.instance.control.below.bound(min(self.min_limit, self.max_limit * share), self.max_limit * share)
 
 
 POLICIES: dict[str, Any] = {"today": None, "ours": Careful,
-                            **{f"linear {s}": (lambda instance, s=s: Linear(instance, s)) for s in (1, 2, 4, 8, 16)}}
+                            **{f"linear {s}": (lambda instance, s=s: LinearRamp(instance, s))
+                               for s in (1, 2, 4, 8, 16)}}
 
 
-CHANGES: dict[str, dict[str, Any]] = {"no limit to tries": {"heeds": False, "tries": 1000},
-                                      "a tight ledger": {"ledger_load": 0.95}}
-SAME = ("state lost", "state lost by half", "state an hour old", "clocks back a day", "clocks on a day",
-        "another plan", "killed again and again")  # in the twin there is no stored state
-CASES = (*(case for case in HARD if case not in SAME), "a tight ledger")
+PARAMETER_CHANGES: dict[str, dict[str, Any]] = {"no limit to tries": {"heeds": False, "tries": 1000},
+                                                "a tight ledger": {"ledger_load": 0.95}}
+STATE_CASES = ("state lost", "state lost by half", "state an hour old", "clocks back a day", "clocks on a day",
+               "another plan", "killed again and again")  # the simulation has no stored state
+CASES = (*(case for case in HARD if case not in STATE_CASES), "a tight ledger")
 
 
-def faults(case: str, names: list[str]) -> tuple[list[Fault], dict[str, Any], int]:
-    """What befalls, what is changed of the deal, how many are killed."""
-    events, kills = hard("nine at once" if case == "a tight ledger" else case, names)
-    return events, CHANGES.get(case, {}), kills
+def case_faults(case: str, names: list[str]) -> tuple[list[Fault], dict[str, Any], int]:
+    """Returns the faults of a case, its changes of the simulation parameters, and how many instances are killed."""
+    faults, kills = hard("nine at once" if case == "a tight ledger" else case, names)
+    return faults, PARAMETER_CHANGES.get(case, {}), kills
 
 
-def bound(crowd: Crowd, kills: int, second: float) -> float:
-    """Share of what was served before that the machines allow, `second` s after the kill."""
-    deal, count = crowd.deal, len(crowd.instances)
-    up = second - 0.5 - deal.boot / 1e6
-    speed = 0.0 if up < 0 else min(1.0, deal.cold + (1 - deal.cold) * (second - 0.5) / (deal.warm / 1e6))
-    room = (count - kills + kills * speed) * deal.cores
-    look, keep = crowd.demands
-    keeps, looks = keep.rate * keep.work / 1e6, look.rate * look.work / 1e6
-    kept = min(1.0, room / keeps)
-    looked = max(0.0, min(1.0, (room - keeps) / looks))
-    return (2 * keep.rate * kept + look.rate * looked) / (2 * keep.rate + look.rate)
+def upper_bound(simulation: Crowd, kills: int, second: float) -> float:
+    """Returns the share of the earlier service that the machines allow so many seconds after the kill."""
+    parameters, count = simulation.deal, len(simulation.instances)
+    up = second - 0.5 - parameters.boot / 1e6
+    speed = 0.0 if up < 0 else min(1.0, parameters.cold + (1 - parameters.cold) * (second - 0.5) / (
+        parameters.warm / 1e6))
+    cores = (count - kills + kills * speed) * parameters.cores
+    lookup, hold = simulation.demands
+    hold_cores, lookup_cores = hold.rate * hold.work / 1e6, lookup.rate * lookup.work / 1e6
+    hold_share = min(1.0, cores / hold_cores)
+    lookup_share = max(0.0, min(1.0, (cores - hold_cores) / lookup_cores))
+    return (2 * hold.rate * hold_share + lookup.rate * lookup_share) / (2 * hold.rate + lookup.rate)
 
 
-def one(job: tuple[str, str, int, int, float]) -> dict[str, Any]:
+def run_case(job: tuple[str, str, int, int, float]) -> dict[str, Any]:
+    """Runs one case with one policy and seed in virtual time and returns its measurements."""
     case, policy, count, seed, load = job
     names = [f"m{n}" for n in range(count)]
-    events, changes, kills = faults(case, names)
-    crowd = Crowd(count, seed, Deal(load=load, **changes), POLICIES[policy], promises=policy == "ours")
-    crowd.run(7 + BEFORE)
-    zero = crowd.now_s
-    base = crowd.worth(zero - BEFORE, zero)
-    calls, asked = crowd.ledger.judge.calls, sum(crowd.asked.values())
-    crowd.play(events)
-    crowd.run(AFTER + 5)
-    shares = [crowd.worth(zero + s, zero + s + 1) / base for s in range(AFTER + 5)]
-    means = [sum(shares[s:s + 5]) / 5 for s in range(AFTER)]
-    full = next((s for s in range(AFTER) if means[s] >= 0.95), math.nan)
-    down = sum(means[s] < 0.9 for s in range(int(full), AFTER)) if not math.isnan(full) else math.nan
-    limit = next((s / 10 for s in range(10 * AFTER) if bound(crowd, kills, s / 10) >= 0.95), math.nan)
-    ideal = sum(1 - bound(crowd, kills, s + 0.5) for s in range(AFTER))
+    faults, changes, kills = case_faults(case, names)
+    simulation = Crowd(count, seed, Deal(load=load, **changes), POLICIES[policy], promises=policy == "ours")
+    simulation.run(7 + BASELINE_S)
+    start = simulation.now_s
+    base = simulation.worth(start - BASELINE_S, start)
+    calls, rpcs = simulation.ledger.judge.calls, sum(simulation.asked.values())
+    simulation.play(faults)
+    simulation.run(MEASURED_S + 5)
+    shares = [simulation.worth(start + s, start + s + 1) / base for s in range(MEASURED_S + 5)]
+    means = [sum(shares[s:s + 5]) / 5 for s in range(MEASURED_S)]
+    full = next((s for s in range(MEASURED_S) if means[s] >= 0.95), math.nan)
+    down = sum(means[s] < 0.9 for s in range(int(full), MEASURED_S)) if not math.isnan(full) else math.nan
+    limit = next((s / 10 for s in range(10 * MEASURED_S) if upper_bound(simulation, kills, s / 10) >= 0.95), math.nan)
+    ideal = sum(1 - upper_bound(simulation, kills, s + 0.5) for s in range(MEASURED_S))
     return {"shares": shares, "full": full, "bound": limit, "ideal": ideal,
-            "area": sum(1 - share for share in shares[:AFTER]),
-            "again": down, "peak": crowd.ledger.judge.most / (crowd.terms.slots * crowd.terms.crowd),
-            "deaths": crowd.ledger.judge.deaths,
-            "calls": (crowd.ledger.judge.calls - calls) / max(1, 0.66 * (sum(crowd.asked.values()) - asked)),
-            "twice": crowd.judge["twice"], "tries": sum(crowd.sent.values()) / max(1, sum(crowd.asked.values())),
-            "kept": (sum(ok for _, ok in crowd.promised) / len(crowd.promised)) if crowd.promised else math.nan}
+            "area": sum(1 - share for share in shares[:MEASURED_S]),
+            "again": down, "peak": simulation.ledger.judge.most / (simulation.terms.slots * simulation.terms.crowd),
+            "deaths": simulation.ledger.judge.deaths,
+            "calls": (simulation.ledger.judge.calls - calls) / max(1, 0.66 * (sum(simulation.asked.values()) - rpcs)),
+            "twice": simulation.judge["twice"],
+            "tries": sum(simulation.sent.values()) / max(1, sum(simulation.asked.values())),
+            "kept": (sum(ok for _, ok in simulation.promised) / len(simulation.promised)) if simulation.promised
+            else math.nan}
 
 
-HEAD = ("| case | policy | full service, s | lost, seconds' worth | peak of the ledger | calls a first RPC "
-        "with one | again, s | times kept | run twice |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
+TABLE_HEADER = ("| case | policy | full service, s | lost service, s | peak load of the ledger | calls per RPC "
+                "with a call | relapse, s | promises kept | run twice |\n"
+                "| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
 
 
-def row(case: str, policy: str, found: list[dict[str, Any]]) -> str:
-    never = sum(math.isnan(f["full"]) for f in found)
-    return (f"| {case} | {policy} | {spread([f['full'] for f in found])}{f' ({never} never)' if never else ''} | "
-            f"{spread([f['area'] for f in found])} | {max(f['peak'] for f in found):.2f} | "
-            f"{statistics.mean(f['calls'] for f in found):.2f} | {spread([f['again'] for f in found])} | "
-            f"{spread([f['kept'] for f in found])} | {sum(f['twice'] for f in found):.0f} |")
+def table_row(case: str, policy: str, results: list[dict[str, Any]]) -> str:
+    """Formats the results of all seeds of one case and policy."""
+    never = sum(math.isnan(r["full"]) for r in results)
+    return (f"| {case} | {policy} | {mean_and_interval([r['full'] for r in results])}"
+            f"{f' ({never} never)' if never else ''} | "
+            f"{mean_and_interval([r['area'] for r in results])} | {max(r['peak'] for r in results):.2f} | "
+            f"{statistics.mean(r['calls'] for r in results):.2f} | "
+            f"{mean_and_interval([r['again'] for r in results])} | "
+            f"{mean_and_interval([r['kept'] for r in results])} | {sum(r['twice'] for r in results):.0f} |")
 
 
 @app.command()
 def virtual(count: int = 12, seeds: int = 10, load: float = 0.8, cases: str = "", policies: str = "today;ours",
             at_once: int = 4) -> None:
-    """Hard cases, each policy on the same seeds."""
-    print(f"{count} instances at {load:.0%} of what they can do warm, {seeds} seeds\n\n{HEAD}", flush=True)
+    """Runs recovery scenes in virtual time, each policy with the same seeds."""
+    print(f"{count} instances at {load:.0%} of their warm capacity, {seeds} seeds\n\n{TABLE_HEADER}", flush=True)
     with ProcessPoolExecutor(at_once) as pool:
         for case in cases.split(";") if cases else CASES:
             for policy in policies.split(";"):
-                found = list(pool.map(one, [(case, policy, count, seed, load) for seed in range(1, seeds + 1)]))
-                print(row(case, policy, found), flush=True)
-            print(f"| {case} | bound | {found[0]['bound']:.1f} | {found[0]['ideal']:.2f} | | | | | |", flush=True)
+                results = list(pool.map(run_case, [(case, policy, count, seed, load)
+                                                   for seed in range(1, seeds + 1)]))
+                print(table_row(case, policy, results), flush=True)
+            print(f"| {case} | bound | {results[0]['bound']:.1f} | {results[0]['ideal']:.2f} | | | | | |", flush=True)
 
 
 @app.command()
 def ramps(count: int = 12, seeds: int = 10, load: float = 0.8, at_once: int = 4,
           cases: str = "nine at once;into a slow ledger;a tight ledger") -> None:
-    """Fixed linear ramps of several lengths beside ours."""
+    """Compares fixed linear ramps of several lengths with the other policies."""
     virtual(count, seeds, load, cases, ";".join(name for name in POLICIES if name != "today") + ";today", at_once)
 
 
 @app.command()
 def plot(path: str, count: int = 12, seeds: int = 2, load: float = 0.8) -> None:
-    """Criticality served within target, as a share of before, second by second; the mean of some seeds."""
+    """Plots criticality served within target per second, as a share of that before the fault; mean over the seeds."""
     import matplotlib
     matplotlib.use("Agg")
     from matplotlib import pyplot
@@ -165,11 +179,12 @@
     figure, rows = pyplot.subplots(len(cases), 1, figsize=(7, 7), sharex=True, layout="constrained")
     for axes, case in zip(rows, cases, strict=True):
         for policy, colour in (("today", "tab:red"), ("ours", "tab:blue")):
-            found = [one((case, policy, count, seed, load))["shares"][:AFTER] for seed in range(1, seeds + 1)]
-            means = [statistics.mean(second) for second in zip(*found, strict=True)]
+            shares = [run_case((case, policy, count, seed, load))["shares"][:MEASURED_S]
+                      for seed in range(1, seeds + 1)]
+            means = [statistics.mean(second) for second in zip(*shares, strict=True)]
             axes.step(range(len(means)), means, where="mid", color=colour, label=policy)
         axes.axhline(0.95, color="grey", lw=0.6)
-        axes.set(title=case, ylabel="share of before", ylim=(0, 1.15))
+        axes.set(title=case, ylabel="share of service before", ylim=(0, 1.15))
     rows[0].legend()
     rows[-1].set_xlabel("seconds after the kill")
     figure.savefig(path, dpi=80)
@@ -177,95 +192,104 @@
 
 # Real processes
 
-def play(schedule: Schedule, broken: str = "", settle: float = 60.0) -> dict[str, Any]:
+def run_schedule(schedule: Schedule, seeded_fault: str = "", settle: float = 60.0) -> dict[str, Any]:
+    """Runs a schedule with `hollystage lab fleet` and returns the report.
+
+    Raises:
+        RuntimeError: the command failed.
+    """
     with tempfile.TemporaryDirectory(prefix="hollystage-comeback-") as folder:
         path = os.path.join(folder, "schedule.json")
         with open(path, "wb") as file:
             file.write(msgspec.json.encode(schedule))
         command = [sys.executable, "-m", "hollystage", "lab", "fleet", "--schedule", path, "--json", "--settle",
-                   str(settle), *(["--break", broken] if broken else [])]
-        done = subprocess.run(command, capture_output=True, text=True, timeout=600, cwd=ROOT)
-    if done.returncode not in (0, 1) or not done.stdout:
-        raise RuntimeError(done.stderr)
-    found: dict[str, Any] = json.loads(done.stdout)
-    return found
+                   str(settle), *(["--break", seeded_fault] if seeded_fault else [])]
+        process = subprocess.run(command, capture_output=True, text=True, timeout=600, cwd=ROOT)
+    if process.returncode not in (0, 1) or not process.stdout:
+        raise RuntimeError(process.stderr)
+    report: dict[str, Any] = json.loads(process.stdout)
+    return report
 
 
 @app.command()
 def real(runs: int = 10, members: int = 12, at_once: int = 3, cases: str = "") -> None:
-    """Hard cases with real processes."""
-    print(f"{members} processes, {runs} runs\n\n| case | violations | full service, s (never) | lost, seconds' worth "
-          "| ledger's peak | calls a first RPC | last not served, s | promised times kept |\n"
+    """Runs recovery scenes with real processes."""
+    print(f"{members} processes, {runs} runs\n\n| case | violations | full service, s (never) | lost service, s "
+          "| peak load of the ledger | calls per RPC | last not served, s | promises kept |\n"
           "| --- | --- | --- | --- | --- | --- | --- | --- |", flush=True)
     with ThreadPoolExecutor(at_once) as pool:
         for case in cases.split(";") if cases else HARD:
-            found = list(pool.map(lambda seed, case=case: play(scene(case, members, seed)), range(1, runs + 1)))
-            for at, one_run in enumerate(found):
-                for violation in one_run["violations"][:3]:
-                    print(f"{case}, seed {at + 1}: {violation}", file=sys.stderr, flush=True)
-            rows = [f["measured"]["comeback"] for f in found]
+            reports = list(pool.map(lambda seed, case=case: run_schedule(scene(case, members, seed)),
+                                    range(1, runs + 1)))
+            for index, report in enumerate(reports):
+                for violation in report["violations"][:3]:
+                    print(f"{case}, seed {index + 1}: {violation}", file=sys.stderr, flush=True)
+            rows = [r["measured"]["comeback"] for r in reports]
             full = [row["full_s"] for row in rows if row["full_s"] is not None]
-            told, kept = sum(row["told"] for row in rows), sum(row["kept"] for row in rows)
-            print(f"| {case} | {sum(len(f['violations']) for f in found)} | {spread(full)} ({runs - len(full)}) | "
-                  f"{spread([row['lost_s'] for row in rows])} | {max(row['ledger_peak'] for row in rows)} | "
+            promised, kept = sum(row["told"] for row in rows), sum(row["kept"] for row in rows)
+            print(f"| {case} | {sum(len(r['violations']) for r in reports)} | "
+                  f"{mean_and_interval(full)} ({runs - len(full)}) | "
+                  f"{mean_and_interval([row['lost_s'] for row in rows])} | "
+                  f"{max(row['ledger_peak'] for row in rows)} | "
                   f"{statistics.mean(row['calls_per_rpc'] for row in rows):.2f} | "
-                  f"{spread([row['last_unserved_s'] for row in rows])} | {kept} of {told} |", flush=True)
+                  f"{mean_and_interval([row['last_unserved_s'] for row in rows])} | {kept} of {promised} |",
+                  flush=True)
 
 
 @app.command()
 def repeats(kills: int = 1000, members: int = 12, at_once: int = 2, rounds: int = 10,
             how: str = "kept;emptied") -> None:
-    """Nine of twelve killed every 4 s, tokened RPCs of 150 ms in flight, repeats for 6 s: what ran twice?"""
+    """Kills three quarters of the members every 4 s while keyed RPCs of 150 ms are retried, to find duplicate runs."""
     load = HARD_LOAD | {"hold_deadline_ms": 6000, "work_s": 0.15, "cores": 4, "rate": 120.0, "tries": 30}
     names = [f"m{n}" for n in range(members)]
 
     def plan(seed: int, kind: str) -> Schedule:
-        chance, faults = random.Random(seed), []
+        rng, faults = random.Random(seed), []
         for n in range(rounds):
-            some = chance.sample(names, members * 3 // 4)
-            faults += [Fault(0.2 + 4 * n, "kill", some), Fault(0.25 + 4 * n, "start", some, how=kind)]
+            killed = rng.sample(names, members * 3 // 4)
+            faults += [Fault(0.2 + 4 * n, "kill", killed), Fault(0.25 + 4 * n, "start", killed, how=kind)]
         return Schedule(members, 4.0 * rounds + 3, seed, faults, load=load)
     for kind in how.split(";"):
         runs = -(-kills // 2 // (rounds * (members * 3 // 4)))
         with ThreadPoolExecutor(at_once) as pool:
-            found = list(pool.map(lambda seed, kind=kind: play(plan(seed, kind)), range(1, runs + 1)))
-        for one_run in found:
-            for violation in one_run["violations"][:3]:
+            reports = list(pool.map(lambda seed, kind=kind: run_schedule(plan(seed, kind)), range(1, runs + 1)))
+        for report in reports:
+            for violation in report["violations"][:3]:
                 print(violation, file=sys.stderr)
-        words: dict[str, int] = {}
-        for one_run in found:
-            for word, count in one_run["measured"]["answers"].items():
-                words[word] = words.get(word, 0) + count
+        outcomes: dict[str, int] = {}
+        for report in reports:
+            for outcome, count in report["measured"]["answers"].items():
+                outcomes[outcome] = outcomes.get(outcome, 0) + count
         print(f"state {kind}: {runs * rounds * (members * 3 // 4)} kills, "
-              f"{sum(len(f['violations']) for f in found)} violations, {words}", flush=True)
+              f"{sum(len(r['violations']) for r in reports)} violations, {outcomes}", flush=True)
 
 
-SHOWN_IN = {"no-doubt": "kills", "doubt-pushes-back": "kills", "one-lender": "state lost", "any-age": "hour",
-            "any-weight": "hour", "from-the-future": "clocks back a day", "any-machine": "another plan",
-            "never-keep": "nine at once", "promise-all": "killed again and again",
-            "calls-unbound": "into a slow ledger"}
+DETECTING_SCENES = {"no-doubt": "kills", "doubt-pushes-back": "kills", "one-lender": "state lost", "any-age": "hour",
+                    "any-weight": "hour", "from-the-future": "clocks back a day", "any-machine": "another plan",
+                    "never-keep": "nine at once", "promise-all": "killed again and again",
+                    "calls-unbound": "into a slow ledger"}
 
 
 @app.command()
 def breaks(members: int = 8, at_once: int = 2) -> None:
-    """Each seeded fault of coming back: which rule it breaks."""
+    """Runs each seeded fault of the recovery and prints the rules that it violates."""
     load = HARD_LOAD | {"hold_deadline_ms": 6000, "work_s": 0.15, "cores": 4, "rate": 120.0, "tries": 30}
 
-    def one_break(broken: str) -> str:
-        case = SHOWN_IN[broken]
-        plan = scene({"kills": "nine at once", "hour": "state an hour old"}.get(case, case), members)
+    def run_fault(seeded_fault: str) -> str:
+        case = DETECTING_SCENES[seeded_fault]
+        schedule = scene({"kills": "nine at once", "hour": "state an hour old"}.get(case, case), members)
         if case == "kills":
-            plan.load = load
-        found = {violation["rule"] for violation in play(plan, broken)["violations"]}
-        return f"| {broken} | {case} | {', '.join(sorted(found)) or 'NOT CAUGHT'} |"
+            schedule.load = load
+        rules = {violation["rule"] for violation in run_schedule(schedule, seeded_fault)["violations"]}
+        return f"| {seeded_fault} | {case} | {', '.join(sorted(rules)) or 'NOT DETECTED'} |"
     with ThreadPoolExecutor(at_once) as pool:
-        for line in pool.map(one_break, SHOWN_IN):
+        for line in pool.map(run_fault, DETECTING_SCENES):
             print(line, flush=True)
 
 
 @app.command()
 def snapshot(methods: int = 16, times: int = 200) -> None:
-    """What keeping and reading cost: under the driver's lock, beside it, and at a start."""
+    """Measures export (under the driver's lock), write, read and restore of a snapshot."""
     from hollystage.control import Control
     from hollystage.decisions.comeback.recovery import harvest, sow
     from hollystage.interface import Kind, Method
@@ -277,28 +301,28 @@
     control = Control(settings_of([Method(Kind.IDEMPOTENT, 1.0, 1_000_000, 2_000_000) for _ in names]), 1, 0)
     for method in control.runs:
         control.runs[method].add(30_000.0, 0, 1)
-    spans: dict[str, list[float]] = {"harvest": [], "write": [], "write, CPU": [], "read": [], "sow": []}
+    durations: dict[str, list[float]] = {"export": [], "write": [], "write, CPU": [], "read": [], "restore": []}
     with tempfile.TemporaryDirectory() as path:
         folder = Folder(path, "a")
         for _ in range(times):
-            begun = time.perf_counter()
+            started_at = time.perf_counter()
             learned = harvest(control, names, 1)
-            spans["harvest"].append(time.perf_counter() - begun)
-            begun, cpu = time.perf_counter(), time.thread_time()
+            durations["export"].append(time.perf_counter() - started_at)
+            started_at, cpu = time.perf_counter(), time.thread_time()
             size = stored.write(folder, stored.Snapshot(1, 1, 12, learned))
-            spans["write"].append(time.perf_counter() - begun)
-            spans["write, CPU"].append(time.thread_time() - cpu)
-            begun = time.perf_counter()
-            found, old, _ = stored.read(folder, 1)
-            spans["read"].append(time.perf_counter() - begun)
+            durations["write"].append(time.perf_counter() - started_at)
+            durations["write, CPU"].append(time.thread_time() - cpu)
+            started_at = time.perf_counter()
+            found, age_s, _ = stored.read(folder, 1)
+            durations["read"].append(time.perf_counter() - started_at)
             assert found is not None
-            begun = time.perf_counter()
-            sow(control, names, found.learned, old, 1)
-            spans["sow"].append(time.perf_counter() - begun)
-    print(f"{methods} methods, {size} bytes; ms, median and most: " + ", ".join(
-        f"{name} {1000 * statistics.median(row):.3f} {1000 * max(row):.3f}" for name, row in spans.items()))
-    cpu_s = statistics.median(spans["harvest"]) + statistics.median(spans["write, CPU"])
-    print(f"at one in 2 s {100 * cpu_s / 2:.3f}% of a core")
+            started_at = time.perf_counter()
+            sow(control, names, found.learned, age_s, 1)
+            durations["restore"].append(time.perf_counter() - started_at)
+    print(f"{methods} methods, {size} bytes; ms, median and maximum: " + ", ".join(
+        f"{name} {1000 * statistics.median(row):.3f} {1000 * max(row):.3f}" for name, row in durations.items()))
+    cpu_s = statistics.median(durations["export"]) + statistics.median(durations["write, CPU"])
+    print(f"at one snapshot every 2 s {100 * cpu_s / 2:.3f}% of a core")
 
 
 if __name__ == "__main__":
