--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -239,7 +239,7 @@
 @app.command()
 def repeats(kills: int = 1000, members: int = 12, at_once: int = 2, rounds: int = 10,
             how: str = "kept;emptied") -> None:
-    """Kills three quarters of the members every 4 s while keyed RPCs of 150 ms are retried, to find duplicate runs."""
+    """Kills three quarters of the members every 4 s while keyed RPCs of 150 ms are retried; finds duplicate runs."""
     load = HARD_LOAD | {"hold_deadline_ms": 6000, "work_s": 0.15, "cores": 4, "rate": 120.0, "tries": 30}
     names = [f"m{n}" for n in range(members)]
 
