--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -1,11 +1,11 @@
-"""Exhaustive search over the pure code of leases and budgets: every choice to a stated depth, the shortest
-trace first.
+"""Explicit-state model checker for the decision code of leases and budgets.
 
-A state is the decision code's own objects, copied at each choice. A message is delivered at once or, out of a budget,
-lost, late or doubled; clocks run at one of their bounds each; processes crash and start without memory. States that
-look the same are searched once.
+Searches all choices breadth first to a given depth, so that the first trace to a violation is a shortest one. A state
+consists of the objects of the decision code itself, copied at each choice. A message is delivered at once or, a
+limited number of times, lost, delayed or duplicated. Each clock runs at one of its bounds. Processes crash and start
+without memory. Equal states are searched once.
 
-    python benchmarks/explore.py leases [FAULT]      python benchmarks/explore.py budgets [FAULT]
+The tests of leases and budgets import it.
 """
 from __future__ import annotations
 
@@ -26,88 +26,98 @@
 from hollystage.decisions.leases.voter import Voter  # noqa: E402
 from hollystage.decisions.leases.words import Propose, Release, Who  # noqa: E402
 
-STEP = 4_000  # of true time between two states; a slow clock shows 3,000 of it, a fast one 5,000
+STEP = 4_000  # true time between two states; a slow clock advances by 3,000, a fast one by 5,000
 DRIFT = 0.25
-SLOW, FAST = 3, 5  # thousands a step
+SLOW, FAST = 3, 5  # thousands per step
+# attributes that do not distinguish states
 UNSEEN = {"_frozen", "counts", "chance", "next_at", "silent", "answered_at", "began",
           "first_after", "gained", "lost", "refused"}
-purses.EVERY = 0  # a step is shorter than what lies between two divisions
-
-
-def copied(thing):
-    """Deep as far as the decision code's own objects go; words and numbers are shared."""
-    if isinstance(thing, dict):
-        return {key: copied(value) for key, value in thing.items()}
-    if isinstance(thing, list):
-        return [copied(value) for value in thing]
-    if isinstance(thing, set):
-        return set(thing)
-    if hasattr(thing, "__dict__") and type(thing).__module__ != "random" and not isinstance(thing, tuple):
-        new = type(thing).__new__(type(thing))
-        for key, value in thing.__dict__.items():
+purses.EVERY = 0  # a step is shorter than the interval between two divisions
+
+
+def deep_copy(value):
+    """Copies the objects of the decision code with all that they refer to; messages and numbers are shared."""
+    if isinstance(value, dict):
+        return {key: deep_copy(item) for key, item in value.items()}
+    if isinstance(value, list):
+        return [deep_copy(item) for item in value]
+    if isinstance(value, set):
+        return set(value)
+    if hasattr(value, "__dict__") and type(value).__module__ != "random" and not isinstance(value, tuple):
+        new = type(value).__new__(type(value))
+        for key, item in value.__dict__.items():
             if key != "_frozen":
-                new.__dict__[key] = copied(value)
+                new.__dict__[key] = deep_copy(item)
         return new
-    if hasattr(type(thing), "__slots__") and type(thing).__name__ == "Account":
-        new = type(thing).__new__(type(thing))
-        for key in type(thing).__slots__:
-            setattr(new, key, getattr(thing, key))
+    if hasattr(type(value), "__slots__") and type(value).__name__ == "Account":
+        new = type(value).__new__(type(value))
+        for key in type(value).__slots__:
+            setattr(new, key, getattr(value, key))
         return new
-    return thing
-
-
-def frozen(thing):
-    """Something to compare states by."""
-    if isinstance(thing, dict):
-        return tuple(sorted((str(key), frozen(value)) for key, value in thing.items()))
-    if isinstance(thing, list | tuple):
-        return tuple(frozen(value) for value in thing)
-    if isinstance(thing, set):
-        return tuple(sorted(thing))
-    if type(thing).__module__ == "random":
+    return value
+
+
+def frozen(value):
+    """Returns a hashable value by which states are compared."""
+    if isinstance(value, dict):
+        return tuple(sorted((str(key), frozen(item)) for key, item in value.items()))
+    if isinstance(value, list | tuple):
+        return tuple(frozen(item) for item in value)
+    if isinstance(value, set):
+        return tuple(sorted(value))
+    if type(value).__module__ == "random":
         return ()
-    if hasattr(thing, "__dict__"):
-        known = thing.__dict__.get("_frozen")
-        if known is None:
-            known = hash(frozen({key: value for key, value in thing.__dict__.items() if key not in UNSEEN}))
-            thing.__dict__["_frozen"] = known  # whoever changes it takes a copy first
-        return known
-    if type(thing).__name__ == "Account":
-        return tuple(getattr(thing, key) for key in type(thing).__slots__)
-    return thing if isinstance(thing, int | float | str | bool | type(None)) else repr(thing)
+    if hasattr(value, "__dict__"):
+        cached = value.__dict__.get("_frozen")
+        if cached is None:
+            cached = hash(frozen({key: item for key, item in value.__dict__.items() if key not in UNSEEN}))
+            value.__dict__["_frozen"] = cached  # stays valid, since objects are copied before a change
+        return cached
+    if type(value).__name__ == "Account":
+        return tuple(getattr(value, key) for key in type(value).__slots__)
+    return value if isinstance(value, int | float | str | bool | type(None)) else repr(value)
 
 
 class Found:
+    """Result of a search.
+
+    `states`: number of distinct states; `depth`: levels that were searched; `trace`: the violation and the choices
+    that lead to it, in order, or None; `complete`: whether no state within the depth was left out.
+    """
+
     def __init__(self, states, depth, trace, whole):
         self.states, self.depth, self.trace, self.whole = states, depth, trace, whole
 
 
 def search(model, depth, most=1 << 60, seconds=1e9, each=None):
-    """Breadth first. `each` is called with every new state. Ends at the first that is wrong, and says how it came."""
+    """Searches breadth first until a violation, the depth, or a limit on states or seconds is reached.
+
+    `on_state` is called with each new state and the number of states so far.
+    """
     until = time.monotonic() + seconds
-    first = model.first()
+    first = model.initial_state()
     seen = {hash(model.key(first))}
     layer, states = [(first, None)], 1
     for level in range(depth):
         following = []
-        for state, came in layer:
-            for label, new in model.moves(state):
-                mark = hash(model.key(new))
-                if mark in seen:
+        for state, path in layer:
+            for label, new in model.transitions(state):
+                digest = hash(model.key(new))
+                if digest in seen:
                     continue
-                seen.add(mark)
+                seen.add(digest)
                 states += 1
-                trail = (label, came)
-                wrong = model.wrong(new)
-                if wrong:
-                    trace = [wrong]
-                    while trail is not None:
-                        trace.append(trail[0])
-                        trail = trail[1]
+                new_path = (label, path)
+                violation = model.violation(new)
+                if violation:
+                    trace = [violation]
+                    while new_path is not None:
+                        trace.append(new_path[0])
+                        new_path = new_path[1]
                     return Found(states, level + 1, trace[::-1], False)
                 if each is not None:
                     each(new, states)
-                following.append((new, trail))
+                following.append((new, new_path))
                 if states >= most or time.monotonic() > until:
                     return Found(states, level, None, False)
         layer = following
@@ -117,247 +127,280 @@
 
 
 class State:
-    """`net`: what is late; `odd`: how many more messages may be lost, late or doubled, `crashes` processes crash.
+    """State of a search.
 
-    Copied lightly: the processes are shared until one of them is to change (`own`).
+    `delayed`: messages in transit; `message_faults`: messages that may still be lost, delayed or duplicated;
+    `crashes`: processes that may still crash. Copies share the processes until one is to change (`copy_for_change`).
     """
 
     def __init__(self):
         self.step = 0
-        self.net = []
-        self.odd = self.crashes = 0
+        self.delayed = []
+        self.message_faults = self.crashes = 0
         self.births = 100
 
     def copy(self):
+        """Returns a copy that shares the processes."""
         new = State()
         for key, value in self.__dict__.items():
             new.__dict__[key] = value.copy() if isinstance(value, dict | list) else value
         return new
 
-    def own(self, table, name):
-        """The process, to be changed in this state alone."""
-        kept = getattr(self, table)
-        kept[name] = made = copied(kept[name])
-        return made
+    def copy_for_change(self, table, name):
+        """Replaces a process by a copy, which may be changed in this state, and returns the copy."""
+        processes = getattr(self, table)
+        processes[name] = process = deep_copy(processes[name])
+        return process
 
 
 class Model:
-    """What both have in common: clocks, and the fates of a message."""
+    """Base of the models: clocks, and the possible deliveries of a message.
+
+    Args:
+        message_faults: messages that may be lost, delayed or duplicated
+        crashes: processes that may crash
+        steps: number of clock steps
+        rates: clock rates of the processes, thousands per step; `SLOW_CLOCK` for others
+    """
 
     def __init__(self, odd=3, crashes=1, steps=8, rates=None):
-        self.odd, self.crashes, self.steps, self.rates = odd, crashes, steps, rates or {}
+        self.message_faults, self.crashes, self.steps, self.rates = odd, crashes, steps, rates or {}
 
     def clock(self, state, name):
+        """Returns the time by the clock of a process."""
         return 1_000_000 + state.step * 1_000 * self.rates.get(name, SLOW)
 
     def key(self, state):
+        """Returns a value that is equal for equal states."""
         return tuple(frozen(value) for name, value in sorted(state.__dict__.items()) if name != "births")
 
-    def fates(self, state, messages, deliver):
-        """All that may become of these messages, one after the other. `deliver(state, message)` gives the states
-        that follow from a delivery."""
+    def deliveries(self, state, messages, deliver):
+        """Returns the states that may follow from sending these messages in order.
+
+        `deliver(state, message)` returns the states that follow from the arrival of one message.
+        """
         if not messages:
             return [state]
         message, rest = messages[0], messages[1:]
-        found = []
+        states = []
         for after in deliver(state.copy(), message):  # at once
-            found += self.fates(after, rest, deliver)
-        if state.odd:
+            states += self.deliveries(after, rest, deliver)
+        if state.message_faults:
             lost = state.copy()
-            lost.odd -= 1
-            found += self.fates(lost, rest, deliver)
-            waits = lost.copy()
-            waits.net.append(message)
-            found += self.fates(waits, rest, deliver)
-            for after in deliver(waits.copy(), message):
-                found += self.fates(after, rest, deliver)
-        return found
-
-    def late_ones(self, state, deliver):
-        for at, message in enumerate(state.net):
-            if message in state.net[:at]:
+            lost.message_faults -= 1
+            states += self.deliveries(lost, rest, deliver)
+            delayed = lost.copy()
+            delayed.delayed.append(message)
+            states += self.deliveries(delayed, rest, deliver)
+            for after in deliver(delayed.copy(), message):  # twice
+                states += self.deliveries(after, rest, deliver)
+        return states
+
+    def delayed_deliveries(self, state, deliver):
+        """Yields the transitions in which a delayed message arrives."""
+        for index, message in enumerate(state.delayed):
+            if message in state.delayed[:index]:
                 continue
             new = state.copy()
-            del new.net[at]
+            del new.delayed[index]
             for after in deliver(new, message):
                 yield f"late: {message}", after
 
 
 class Leases(Model):
-    """Voters v0.. and seekers s0..; `voter` and `seeker`: the product's classes, or ones with a seeded fault."""
+    """Voters v0.. and candidates s0.. of one lease.
+
+    `voter` and `seeker` are the classes of the decision code, or subclasses with a seeded fault; `sets` are the voter
+    sets of the candidates.
+    """
 
     def __init__(self, voter=Voter, seeker=Seeker, voters=3, seekers=2, terms=None, sets=None, **more):
         super().__init__(**more)
-        self.kinds = voter, seeker
-        self.terms = terms or Terms(length=20_000, drift=DRIFT, margin=0)
+        self.classes = voter, seeker
+        self.parameters = terms or Terms(length=20_000, drift=DRIFT, margin=0)
         self.names = [f"v{n}" for n in range(voters)]
-        self.sets = sets or [Electorate(tuple(self.names))] * seekers
+        self.voter_sets = sets or [Electorate(tuple(self.names))] * seekers
 
-    def first(self):
+    def initial_state(self):
+        """Returns the state in which no candidate has started a round."""
         state = State()
-        state.odd, state.crashes = self.odd, self.crashes
-        state.voters = {name: self.kinds[0](self.terms, -10 ** 6, 0) for name in self.names}
-        state.seekers = {f"s{n}": self._seeker(state, f"s{n}", n) for n in range(len(self.sets))}
-        state.held = {}
+        state.message_faults, state.crashes = self.message_faults, self.crashes
+        state.voters = {name: self.classes[0](self.parameters, -10 ** 6, 0) for name in self.names}
+        state.candidates = {f"s{n}": self._new_candidate(state, f"s{n}", n) for n in range(len(self.voter_sets))}
+        state.holders = {}
         return state
 
-    def _seeker(self, state, name, n):
+    def _new_candidate(self, state, name, n):
         state.births += 1
-        return self.kinds[1](self.terms, Who(name, state.births), self.sets[n], 1, self.clock(state, name), n)
+        return self.classes[1](self.parameters, Who(name, state.births), self.voter_sets[n], 1,
+                                    self.clock(state, name), n)
 
-    def wrong(self, state):
-        acting = [name for name, seeker in state.seekers.items() if seeker.held(self.clock(state, name))]
+    def violation(self, state):
+        """Returns a message if two candidates hold the lease or a ballot has been used by two; None otherwise."""
+        acting = [name for name, candidate in state.candidates.items() if candidate.held(self.clock(state, name))]
         if len(acting) > 1:
-            return f"{' and '.join(acting)} act at once"
+            return f"{' and '.join(acting)} hold the lease at the same time"
         for name in acting:
-            seeker = state.seekers[name]
-            if state.held.setdefault(seeker.number, seeker.me) != seeker.me:
-                return f"number {seeker.number} goes to two"
+            candidate = state.candidates[name]
+            if state.holders.setdefault(candidate.number, candidate.me) != candidate.me:
+                return f"ballot {candidate.number} has two holders"
         return None
 
     def deliver(self, state, message):
-        to, sender, word = message
+        """Returns the states that follow from the arrival of a message."""
+        to, sender, body = message
         if to in state.voters:
-            voter, now = state.own("voters", to), self.clock(state, to)
-            if isinstance(word, Release):
-                voter.release(word)
+            voter, now = state.copy_for_change("voters", to), self.clock(state, to)
+            if isinstance(body, Release):
+                voter.release(body)
                 return [state]
-            reply = voter.propose(word, now) if isinstance(word, Propose) else voter.prepare(word, now)
-            return self.fates(state, [(sender, to, reply)], self.deliver)
-        seeker = state.own("seekers", to)
-        questions = seeker.heard(sender, word, self.clock(state, to))
-        return self.fates(state, [(voter, to, question) for voter, question in questions], self.deliver)
-
-    def moves(self, state):
+            reply = voter.propose(body, now) if isinstance(body, Propose) else voter.prepare(body, now)
+            return self.deliveries(state, [(sender, to, reply)], self.deliver)
+        candidate = state.copy_for_change("candidates", to)
+        requests = candidate.heard(sender, body, self.clock(state, to))
+        return self.deliveries(state, [(voter, to, request) for voter, request in requests], self.deliver)
+
+    def transitions(self, state):
+        """Yields a label and the following state for each choice."""
         if state.step < self.steps:
             new = state.copy()
             new.step += 1
             yield "time passes", new
-        yield from self.late_ones(state, self.deliver)
-        for name, seeker in state.seekers.items():
-            now, held = self.clock(state, name), seeker.held(self.clock(state, name))
-            acts = ["gives back", "renews"] if held else ["begins" if seeker.stage == "idle" else "gives up"]
+        yield from self.delayed_deliveries(state, self.deliver)
+        for name, candidate in state.candidates.items():
+            now, holds = self.clock(state, name), candidate.held(self.clock(state, name))
+            acts = ["releases the lease", "renews"] if holds else [
+                "begins" if candidate.stage == "idle" else "abandons the round"]
             for act in acts:
-                if act == "renews" and seeker.stage != "idle":
+                if act == "renews" and candidate.stage != "idle":
                     continue
                 new = state.copy()
-                mine = new.own("seekers", name)
-                mine.next_at, mine.wanted = now, act != "gives back"
-                messages = [(voter, name, question) for voter, question in mine.tick(now)]
-                mine.wanted = True
-                for after in self.fates(new, messages, self.deliver):
+                changed = new.copy_for_change("candidates", name)
+                changed.next_at, changed.wanted = now, act != "releases the lease"
+                messages = [(voter, name, request) for voter, request in changed.tick(now)]
+                changed.wanted = True
+                for after in self.deliveries(new, messages, self.deliver):
                     yield f"{name} {act}", after
             if state.crashes:
                 new = state.copy()
                 new.crashes -= 1
-                new.seekers[name] = self._seeker(new, name, int(name[1:]))
-                yield f"{name} starts anew", new
+                new.candidates[name] = self._new_candidate(new, name, int(name[1:]))
+                yield f"{name} restarts", new
         if state.crashes:
             for name in state.voters:
                 new = state.copy()
                 new.crashes -= 1
-                new.voters[name] = self.kinds[0](self.terms, self.clock(state, name), 0)
-                yield f"{name} starts without its memory", new
+                new.voters[name] = self.classes[0](self.parameters, self.clock(state, name), 0)
+                yield f"{name} restarts without memory", new
 
     def leads_to_a_holder(self, state):
-        """From here on nothing is lost: whether somebody holds it in the end."""
+        """Returns whether a candidate gets the lease within 40 steps if no further message is lost."""
         state = state.copy()
-        for table, names in (("voters", list(state.voters)), ("seekers", list(state.seekers))):
+        for table, names in (("voters", list(state.voters)), ("candidates", list(state.candidates))):
             for name in names:
-                state.own(table, name)
+                state.copy_for_change(table, name)
         for _ in range(40):
             state.step += 1
-            for name, seeker in state.seekers.items():
-                queue = [(voter, name, word) for voter, word in seeker.tick(self.clock(state, name))]
+            for name, candidate in state.candidates.items():
+                queue = [(voter, name, body) for voter, body in candidate.tick(self.clock(state, name))]
                 while queue:
-                    to, sender, word = queue.pop(0)
+                    to, sender, body = queue.pop(0)
                     if to in state.voters:
                         voter, now = state.voters[to], self.clock(state, to)
-                        if isinstance(word, Release):
-                            voter.release(word)
+                        if isinstance(body, Release):
+                            voter.release(body)
                             continue
-                        ask = voter.propose if isinstance(word, Propose) else voter.prepare
-                        queue.append((sender, to, ask(word, now)))
+                        handle = voter.propose if isinstance(body, Propose) else voter.prepare
+                        queue.append((sender, to, handle(body, now)))
                     else:
                         now = self.clock(state, to)
-                        queue += [(voter, to, word) for voter, word in state.seekers[to].heard(sender, word, now)]
-            if any(seeker.held(self.clock(state, name)) for name, seeker in state.seekers.items()):
+                        queue += [(voter, to, body) for voter, body in state.candidates[to].heard(sender, body, now)]
+            if any(candidate.held(self.clock(state, name)) for name, candidate in state.candidates.items()):
                 return True
         return False
 
 
 class Budgets(Model):
-    """Members m0.. share a few units; one after another divides, never two at once, which is the lease's part."""
+    """Members m0.. share the units of one budget, granted by at most one allocator at a time, as the lease ensures.
+
+    `share` and `divider` are the classes of the decision code, or subclasses with a seeded fault; `lends`: whether
+    members lend units to each other.
+    """
 
     def __init__(self, members=3, whole=4, floor=0, share=Share, divider=Divider, lends=False, **more):
         super().__init__(**more)
-        self.kinds = share, divider
-        self.terms = Terms(length=20_000, drift=DRIFT, margin=0)
+        self.classes = share, divider
+        self.parameters = Terms(length=20_000, drift=DRIFT, margin=0)
         self.budget = Budget("b", whole, floor, members, use=2 * STEP, kept=0.0)
         self.names, self.lends = [f"m{n}" for n in range(members)], lends
 
-    def first(self):
+    def initial_state(self):
+        """Returns the state in which an allocator has existed for long and m0 uses all that it was granted."""
         state = State()
-        state.odd, state.crashes = self.odd, self.crashes
-        state.dividers, state.epoch = {}, 1
+        state.message_faults, state.crashes = self.message_faults, self.crashes
+        state.allocators, state.epoch = {}, 1
         state.members, state.uses, state.lingering = {}, {}, []
         for name in self.names:
-            self._member(state, name)
-            holding = state.members[name].holdings["b"]
-            holding.floor_from = 0  # nobody was there before
-        # one divides since long, and the first member has as much as it may have
-        state.dividers["d"] = divider = self.kinds[1]([self.budget], self.terms, 1, -10 ** 9)
+            self._start_member(state, name)
+            allocation = state.members[name].holdings["b"]
+            allocation.floor_from = 0  # no earlier process of this name existed
+        state.allocators["d"] = allocator = self.classes[1]([self.budget], self.parameters, 1, -10 ** 9)
         member, now = state.members["m0"], self.clock(state, "m0")
         for _ in range(4):
-            self._told(member, state, "m0")
+            self._report_usage(member, state, "m0")
             claim = member._ask(now).word
-            parts = divider.claimed(("m0", member.birth), claim, self.clock(state, "d"))
-            member.heard("d", parts, now)
+            grants = allocator.claimed(("m0", member.birth), claim, self.clock(state, "d"))
+            member.heard("d", grants, now)
             usable = member.holdings["b"].usable(now)
             state.uses["m0"] = ((0, usable),) if usable else ()
         return state
 
-    def _member(self, state, name):
+    def _start_member(self, state, name):
         state.births += 1
-        member = self.kinds[0]([self.budget], self.terms, 100_000, name, ("d",), 1, self.clock(state, name))
+        member = self.classes[0]([self.budget], self.parameters, 100_000, name, ("d",), 1, self.clock(state, name))
         member.birth = state.births
         state.members[name], state.uses[name] = member, ()
 
-    def using(self, state, name):
+    def units_in_use(self, state, name):
+        """Returns the units that a member uses."""
         return sum(units for _, units in state.uses[name])
 
-    def wrong(self, state):
-        used = sum(self.using(state, name) for name in self.names) + sum(units for _, units in state.lingering)
+    def violation(self, state):
+        """Returns a message if more units are in use than the budget has; None otherwise."""
+        used = sum(self.units_in_use(state, name) for name in self.names) + sum(
+            units for _, units in state.lingering)
         return f"{used} of {self.budget.whole} in use" if used > self.budget.whole else None
 
-    def _told(self, member, state, name):
-        """The decision module goes by what it may at once, in this model."""
-        usable, using = member.holdings["b"].usable(self.clock(state, name)), self.using(state, name)
-        member.used("b", Use(usable, using, max(0, self.budget.whole - using), 1.0))
+    def _report_usage(self, member, state, name):
+        """Reports the usage of a member whose decision module applies each change of the limit at once."""
+        usable, in_use = member.holdings["b"].usable(self.clock(state, name)), self.units_in_use(state, name)
+        member.used("b", Use(usable, in_use, max(0, self.budget.whole - in_use), 1.0))
 
     def deliver(self, state, message):
-        to, sender, word = message
+        """Returns the states that follow from the arrival of a message."""
+        to, sender, body = message
         if to == "d":
-            if not state.dividers:
+            if not state.allocators:
                 return [state]
-            parts = state.own("dividers", "d").claimed(sender, word, self.clock(state, "d"))
-            if parts is None:
+            grants = state.copy_for_change("allocators", "d").claimed(sender, body, self.clock(state, "d"))
+            if grants is None:
                 return [state]
-            return self.fates(state, [(sender, state.epoch, parts)], self.deliver)
+            return self.deliveries(state, [(sender, state.epoch, grants)], self.deliver)
         name, birth = to
         if state.members[name].birth != birth:
             return [state]
-        member, now = state.own("members", name), self.clock(state, name)
-        self._told(member, state, name)
-        out = member.heard("d" if isinstance(word, Parts) else sender[0], word, now)
-        self._told(member, state, name)
-        if isinstance(word, Borrow):
-            out += member._tell_loans(now)
-            messages = [(sender, (name, birth), message.word) for message in out if isinstance(message.word, Loan)]
-            return self.fates(state, messages, self.deliver)
+        member, now = state.copy_for_change("members", name), self.clock(state, name)
+        self._report_usage(member, state, name)
+        outgoing = member.heard("d" if isinstance(body, Parts) else sender[0], body, now)
+        self._report_usage(member, state, name)
+        if isinstance(body, Borrow):
+            outgoing += member._tell_loans(now)
+            messages = [(sender, (name, birth), one.word) for one in outgoing if isinstance(one.word, Loan)]
+            return self.deliveries(state, messages, self.deliver)
         return [state]
 
-    def moves(self, state):
+    def transitions(self, state):
+        """Yields a label and the following state for each choice."""
         if state.step < self.steps:
             new = state.copy()
             new.step += 1
@@ -365,59 +408,61 @@
                 new.uses[name] = tuple(row for row in new.uses[name] if (new.step - row[0]) * STEP < self.budget.use)
             new.lingering = [row for row in new.lingering if (new.step - row[0]) * STEP < self.budget.use]
             yield "time passes", new
-        yield from self.late_ones(state, self.deliver)
+        yield from self.delayed_deliveries(state, self.deliver)
         new = state.copy()
-        if not state.dividers:
+        if not state.allocators:
             new.epoch += 1
-            new.dividers["d"] = self.kinds[1]([self.budget], self.terms, new.epoch, self.clock(state, "d"))
-            yield "one begins to divide", new
+            new.allocators["d"] = self.classes[1]([self.budget], self.parameters, new.epoch,
+                                                       self.clock(state, "d"))
+            yield "an allocator starts", new
         else:
-            del new.dividers["d"]
-            yield "the divider dies", new
+            del new.allocators["d"]
+            yield "the allocator dies", new
             new = state.copy()
-            offers = new.own("dividers", "d").offers(self.clock(state, "d"))
-            for after in self.fates(new, [(who, new.epoch, parts) for who, parts in offers], self.deliver):
-                yield "the divider offers", after
+            unsolicited = new.copy_for_change("allocators", "d").offers(self.clock(state, "d"))
+            for after in self.deliveries(new, [(process, new.epoch, grants) for process, grants in unsolicited],
+                                         self.deliver):
+                yield "the allocator sends unsolicited grants", after
         for name, member in state.members.items():
-            yield from self._of(state, name, member)
+            yield from self._member_transitions(state, name, member)
 
-    def _of(self, state, name, member):
+    def _member_transitions(self, state, name, member):
         now = self.clock(state, name)
-        usable, using = copied(member.holdings["b"]).usable(now), self.using(state, name)
-        if using < usable:
+        usable, in_use = deep_copy(member.holdings["b"]).usable(now), self.units_in_use(state, name)
+        if in_use < usable:
             new = state.copy()
-            new.uses[name] += ((state.step, usable - using),)
+            new.uses[name] += ((state.step, usable - in_use),)
             yield f"{name} uses {usable}", new
-        if using:
+        if in_use:
             new = state.copy()
             new.uses[name] = ()
             yield f"{name} ends its uses", new
-        if state.dividers:
+        if state.allocators:
             new = state.copy()
-            mine = new.own("members", name)
-            self._told(mine, new, name)
-            claim = mine._ask(now).word
+            changed = new.copy_for_change("members", name)
+            self._report_usage(changed, new, name)
+            claim = changed._ask(now).word
             assert isinstance(claim, Claim)
-            for after in self.fates(new, [("d", (name, member.birth), claim)], self.deliver):
-                yield f"{name} asks", after
+            for after in self.deliveries(new, [("d", (name, member.birth), claim)], self.deliver):
+                yield f"{name} sends a claim", after
         if self.lends:
             for other in self.names:
                 if other != name:
                     new = state.copy()
-                    mine = new.own("members", name)
-                    self._told(mine, new, name)
-                    messages = [((other, new.members[other].birth), (name, member.birth), message.word)
-                                for message in mine._borrow([other], now)]
-                    for after in self.fates(new, messages, self.deliver) if messages else ():
-                        yield f"{name} borrows of {other}", after
+                    changed = new.copy_for_change("members", name)
+                    self._report_usage(changed, new, name)
+                    messages = [((other, new.members[other].birth), (name, member.birth), outgoing.word)
+                                for outgoing in changed._borrow([other], now)]
+                    for after in self.deliveries(new, messages, self.deliver) if messages else ():
+                        yield f"{name} borrows from {other}", after
         if state.crashes:
             new = state.copy()
             new.crashes -= 1
             new.lingering += new.uses[name]
-            self._member(new, name)
-            yield f"{name} starts anew", new
+            self._start_member(new, name)
+            yield f"{name} restarts", new
 
 
 def rates(names):
-    """Each clock at one of its bounds, in all combinations."""
+    """Returns all combinations of slow and fast clocks for these processes."""
     return [dict(zip(names, row, strict=True)) for row in itertools.product((SLOW, FAST), repeat=len(names))]
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -188,9 +188,9 @@
         worth = [sum(instance.by_second(26)[at] for instance in simulated_instances) for at in range(26)]
         print(f"{policy:6} {'with' if pooling else 'no'} pools, {instances} instances: served per second before "
               f"{sum(worth[3:8]) / 5:.0f}, slow {sum(worth[8:16]) / 8:.0f}, after, by second "
-              f"{' '.join(f'{value:.0f}' for value in worth[16:25])}; calls in progress before {max(samples[12:32])}, "
-              f"slow {max(samples[32:64])}, after {max(samples[66:])} of {6 * instances} slots; crashes "
-              f"{ledger.judge.deaths} ({time.process_time() - started_at:.0f} s)")
+              f"{' '.join(f'{value:.0f}' for value in worth[16:25])}; calls in progress before "
+              f"{max(samples[12:32])}, slow {max(samples[32:64])}, after {max(samples[66:])} of {6 * instances} "
+              f"slots; crashes {ledger.judge.deaths} ({time.process_time() - started_at:.0f} s)")
 
 
 if __name__ == "__main__":
