--- a/examples/counter.star
+++ b/examples/counter.star
@@ -1,5 +1,5 @@
-# One counter's instance: what `hollystage demo` runs.
-# Times, sizes, rates and shares carry their units; `hollystage config check` tells what is wrong with them.
+# The instance that `hollystage demo` runs.
+# Times, sizes, rates and shares are written with units; `hollystage config check` reports errors.
 load("shared/promises.star", "HOLD_DEADLINE", "hold", "lookup")
 
 instance("counter-1", stop = 1500ms)
--- a/examples/pools.star
+++ b/examples/pools.star
@@ -1,4 +1,4 @@
-# A plan that adds pools to the platform's JSON, whose methods it names: serve --config JSON --plan THIS
+# Adds pools for methods of the platform's JSON: hollystage serve --config JSON --plan THIS_FILE
 pool("quotes", methods = ["rate-lookup"], guaranteed = 30%, heir = "holds")
 pool("holds", methods = ["car-hold"], guaranteed = 30%)
 reserve(running = 5%, memory = 5%, calls = 5%)
--- a/examples/shared/promises.star
+++ b/examples/shared/promises.star
@@ -1,4 +1,4 @@
-# Promises that several plans share.
+# Methods that several plans share.
 HOLD_DEADLINE = 2s
 
 def lookup(name, skip_share = 30%):
--- a/examples/sites/shared/shapes.star
+++ b/examples/sites/shared/shapes.star
@@ -1,4 +1,4 @@
-# What the sites of one family share. Sizes of fleets are told by the sites.
+# Settings that the sites of one family share. Each site passes the size of its fleet.
 
 def reservations(cores, peers, cold = False):
     machine(
