--- a/hollystage/standins/interpreter.py
+++ b/hollystage/standins/interpreter.py
@@ -91,9 +91,9 @@
         with self.lock:
             return [command for command in self.heard if command["cmd"] == cmd]
 
-    def applied(self, many: int = 1) -> list[str]:
+    def applied(self, count: int = 1) -> list[str]:
         """Waits until at least this many runs were requested and returns the request ids of all of them."""
-        commands = until(lambda: len(self.got("APPLY")) >= many and self.got("APPLY"))
+        commands = until(lambda: len(self.got("APPLY")) >= count and self.got("APPLY"))
         return [command["req"] for command in commands or []]
 
 
--- a/hollystage/standins/ledger.py
+++ b/hollystage/standins/ledger.py
@@ -67,24 +67,24 @@
         self.crowded_since: int | None = None
         self.number = self.version = 0
 
-    def call(self, kind: str, callback: Answer) -> int:
+    def call(self, rpc_class: str, callback: Answer) -> int:
         """Starts a call of an RPC class and returns its number, for `abandon`. May run the callback immediately."""
         self.number += 1
-        number, judge = self.number, self.judge
-        judge.calls += 1
-        judge.by_class[kind] = judge.by_class.get(kind, 0) + 1
+        number, stats = self.number, self.judge
+        stats.calls += 1
+        stats.by_class[rpc_class] = stats.by_class.get(rpc_class, 0) + 1
         if self.mood is Mood.DOWN:
-            judge.refused += 1
+            stats.refused += 1
             callback(Outcome.CONNECT_FAILED)
             return number
         if self.terms.refuses and len(self.work) >= self.terms.slots * self.terms.crowd:
-            judge.refused += 1
+            stats.refused += 1
             callback(Outcome.FULL)
             return number
         sigma = self.terms.spread
         work = self.terms.mean * self.chance.lognormvariate(-sigma * sigma / 2, sigma)
         self.open[number] = callback
-        self.work.add(number, work * self.slow_class.get(kind, 1.0), self.clock.now)
+        self.work.add(number, work * self.slow_class.get(rpc_class, 1.0), self.clock.now)
         self._changed()
         return number
 
@@ -92,12 +92,12 @@
         """Ends the caller's wait. The work continues, as in a real ledger, which cannot see that a caller gave up."""
         self.open.pop(number, None)
 
-    def slow(self, factor: float, kind: str | None = None) -> None:
+    def slow(self, factor: float, rpc_class: str | None = None) -> None:
         """Sets the factor by which all calls, or those of one class, take longer from now on."""
-        if kind is None:
+        if rpc_class is None:
             self.work.set_slow(factor, self.clock.now)
         else:
-            self.slow_class[kind] = factor
+            self.slow_class[rpc_class] = factor
         self._changed()
 
     def die(self, duration: int) -> None:
