--- a/hollystage/standins/ledger.py
+++ b/hollystage/standins/ledger.py
@@ -89,7 +89,7 @@
         return number
 
     def give_up(self, number: int) -> None:
-        """Ends the caller's wait. The work continues, as in a real ledger, which cannot see that a caller gave up."""
+        """Ends the caller's wait. The ledger continues to work on the call, as a real one does."""
         self.open.pop(number, None)
 
     def slow(self, factor: float, rpc_class: str | None = None) -> None:
