--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -18,8 +18,8 @@
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 sys.path[:0] = [ROOT, os.path.join(ROOT, "tests")]
 
-from benchmarks.treasury import World, calls  # noqa: E402
-from hollystage.standins.fleet.draw import SHARED  # noqa: E402
+from benchmarks.budget_simulation import BudgetSimulation, call_budget  # noqa: E402
+from hollystage.standins.fleet.schedules import BUDGET_SCENES  # noqa: E402
 
 
 def scenes(members: int = 12, seeds: int = 1) -> None:
@@ -30,7 +30,7 @@
                    "--seed", str(seed), "--json"]
         process = subprocess.run(command, capture_output=True, text=True, cwd=ROOT, timeout=180)
         return name, seed, json.loads(process.stdout) if process.stdout else {"violations": [process.stderr[-300:]]}
-    jobs = [(name, seed) for seed in range(1, seeds + 1) for name in SHARED]
+    jobs = [(name, seed) for seed in range(1, seeds + 1) for name in BUDGET_SCENES]
     with ThreadPoolExecutor(3) as pool:
         for name, seed, report in pool.map(run_scene, jobs):
             budget = report.get("measured", {}).get("budget", {})
@@ -44,7 +44,7 @@
 
 def needs(world, pattern, second):
     """Returns the need of each process in this second: 1.2 times the total, half of it at one process."""
-    size, total = len(world.names), world.budgets[0].whole
+    size, total = len(world.names), world.budgets[0].total
     heavy = {"still": size - 1, "jumps": second // 5 * 5 % size}.get(pattern, size - 1)
     return [0.6 * total if n == heavy else 0.6 * total / (size - 1) for n in range(size)]
 
@@ -55,7 +55,7 @@
     for pattern in ("still", "jumps", "third killed"):
         means = {}
         for method in ("divided", "fixed"):
-            world = World(11, 12, [calls(whole=48, most=12, use=300_000)])
+            world = BudgetSimulation(11, 12, [call_budget(total=48, max_processes=12, max_use_duration=300_000)])
             world.run(6)
             if pattern == "third killed":
                 for name in world.names[3:7]:
@@ -64,14 +64,14 @@
             total = optimum = 0.0
             for second in range(30):
                 wanted = needs(world, pattern, second)
-                alive = [n for n, name in enumerate(world.names) if world.nodes[name].up]
+                alive = [n for n, name in enumerate(world.names) if world.processes[name].running]
                 for n in alive:
-                    world.nodes[world.names[n]].need = wanted[n] * (1.5 if pattern == "third killed" else 1)
+                    world.processes[world.names[n]].need = wanted[n] * (1.5 if pattern == "third killed" else 1)
                 if method == "divided":
-                    total += world.used(1.0)
+                    total += world.mean_in_use(1.0)
                 else:
-                    total += sum(min(4.0, int(world.nodes[world.names[n]].need)) for n in alive)
-                optimum += min(48, sum(int(world.nodes[world.names[n]].need) for n in alive))
+                    total += sum(min(4.0, int(world.processes[world.names[n]].need)) for n in alive)
+                optimum += min(48, sum(int(world.processes[world.names[n]].need) for n in alive))
             means[method] = total / 30
             means["best possible"] = optimum / 30
         print(f"{pattern:12} allocated {means['divided']:5.1f}  fixed shares {means['fixed']:5.1f}  optimum "
@@ -82,21 +82,21 @@
     """Measures message rate, time of a reallocation and CPU use for several sizes of the fleet."""
     for size in (10, 100, 1_000, 3_000):
         whole = 4 * size
-        world = World(5, size, [calls(whole=whole, most=size, use=300_000)], voters=5)
+        world = BudgetSimulation(5, size, [call_budget(total=whole, max_processes=size, max_use_duration=300_000)], voters=5)
         started_at = time.monotonic()
         for name in world.names:
-            world.nodes[name].need = 3
+            world.processes[name].need = 3
         world.run(6)
-        sent_before = sum(node.sent for node in world.nodes.values())
+        sent_before = sum(node.sent for node in world.processes.values())
         measured_from = time.monotonic()
         world.run(2)
-        sent = sum(node.sent for node in world.nodes.values()) - sent_before
+        sent = sum(node.sent for node in world.processes.values()) - sent_before
         elapsed = time.monotonic() - measured_from
         # half of the processes lose their need, that of the others doubles: run until 0.9 of it is in use
         for n, name in enumerate(world.names):
-            world.nodes[name].need = 0 if n % 2 else 6
-        needy, steps = [world.nodes[name] for name in world.names[::2]], 0
-        while sum(node.using["calls"] for node in needy) < 0.9 * 6 * len(needy) and steps < 100:
+            world.processes[name].need = 0 if n % 2 else 6
+        needy, steps = [world.processes[name] for name in world.names[::2]], 0
+        while sum(node.in_use["calls"] for node in needy) < 0.9 * 6 * len(needy) and steps < 100:
             world.run(0.1)
             steps += 1
         print(f"{size:5} processes: {sent / size / 2:.1f} messages per process and second, violations "
@@ -108,8 +108,8 @@
     """Measures the time from the start of a process until it may use its first unit."""
     delays = []
     for seed in range(20):
-        world = World(seed, 6, [calls(whole=30, most=6)])
-        for node in world.nodes.values():
+        world = BudgetSimulation(seed, 6, [call_budget(total=30, max_processes=6)])
+        for node in world.processes.values():
             node.need = 30
         world.run(6)
         world.kill("m4")
@@ -117,7 +117,7 @@
         node = world.start("m4")
         node.need = 30
         world.run(1)
-        delays.append((node.first - node.began) / 1000 if node.first is not None else 1e9)
+        delays.append((node.first_use_at - node.started_at) / 1000 if node.first_use_at is not None else 1e9)
         assert not world.violations
     delays.sort()
     print(f"first unit of a new process: median {delays[10]:.0f} ms, maximum {delays[-1]:.0f} ms, 20 starts")
--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -33,9 +33,14 @@
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 sys.path.insert(0, ROOT)
 
-from hollystage.standins.fleet.crowd import Careful, Crowd, Deal, Instance  # noqa: E402
-from hollystage.standins.fleet.draw import HARD, HARD_LOAD, hard, scene  # noqa: E402
 from hollystage.standins.fleet.faults import Fault, Schedule  # noqa: E402
+from hollystage.standins.fleet.schedules import RECOVERY_LOAD, RECOVERY_SCENES, recovery_scene, scene_schedule  # noqa: E402
+from hollystage.standins.fleet.service_simulation import (  # noqa: E402
+    Instance,
+    RecoveryPolicy,
+    ServiceSimulation,
+    SimulationParameters,
+)
 
 app = typer.Typer(add_completion=False)
 BASELINE_S, MEASURED_S = 8, 36  # before and after the fault
@@ -56,8 +61,8 @@
 
     def __init__(self, instance: Instance, seconds: float) -> None:
         self.instance, self.duration = instance, seconds * 1e6
-        limit = instance.control.below
-        self.min_limit, self.max_limit = limit.least, limit.most
+        limit = instance.control.call_limit
+        self.min_limit, self.max_limit = limit.min_value, limit.max_value
 
     def refuses(self, caller_rpc: Any, now: int) -> bool:
         """Refuses no RPC."""
@@ -66,11 +71,11 @@
     def tick(self, now: int) -> None:
         """Sets the limit that belongs to this time."""
         if self.instance.settings.cold:
-            share = min(1.0, 0.05 + (now - self.instance.born) / self.duration)
-            self.instance.control.below.bound(min(self.min_limit, self.max_limit * share), self.max_limit * share)
+            share = min(1.0, 0.05 + (now - self.instance.started_at) / self.duration)
+            self.instance.control.call_limit.set_bounds(min(self.min_limit, self.max_limit * share), self.max_limit * share)
 
 
-POLICIES: dict[str, Any] = {"today": None, "ours": Careful,
+POLICIES: dict[str, Any] = {"today": None, "ours": RecoveryPolicy,
                             **{f"linear {s}": (lambda instance, s=s: LinearRamp(instance, s))
                                for s in (1, 2, 4, 8, 16)}}
 
@@ -79,24 +84,24 @@
                                                 "a tight ledger": {"ledger_load": 0.95}}
 STATE_CASES = ("state lost", "state lost by half", "state an hour old", "clocks back a day", "clocks on a day",
                "another plan", "killed again and again")  # the simulation has no stored state
-CASES = (*(case for case in HARD if case not in STATE_CASES), "a tight ledger")
+CASES = (*(case for case in RECOVERY_SCENES if case not in STATE_CASES), "a tight ledger")
 
 
 def case_faults(case: str, names: list[str]) -> tuple[list[Fault], dict[str, Any], int]:
     """Returns the faults of a case, its changes of the simulation parameters, and how many instances are killed."""
-    faults, kills = hard("nine at once" if case == "a tight ledger" else case, names)
+    faults, kills = recovery_scene("nine at once" if case == "a tight ledger" else case, names)
     return faults, PARAMETER_CHANGES.get(case, {}), kills
 
 
-def upper_bound(simulation: Crowd, kills: int, second: float) -> float:
+def upper_bound(simulation: ServiceSimulation, kills: int, second: float) -> float:
     """Returns the share of the earlier service that the machines allow so many seconds after the kill."""
-    parameters, count = simulation.deal, len(simulation.instances)
-    up = second - 0.5 - parameters.boot / 1e6
-    speed = 0.0 if up < 0 else min(1.0, parameters.cold + (1 - parameters.cold) * (second - 0.5) / (
-        parameters.warm / 1e6))
+    parameters, count = simulation.parameters, len(simulation.instances)
+    up = second - 0.5 - parameters.boot_time / 1e6
+    speed = 0.0 if up < 0 else min(1.0, parameters.cold_speed + (1 - parameters.cold_speed) * (second - 0.5) / (
+        parameters.warm_up_time / 1e6))
     cores = (count - kills + kills * speed) * parameters.cores
     lookup, hold = simulation.demands
-    hold_cores, lookup_cores = hold.rate * hold.work / 1e6, lookup.rate * lookup.work / 1e6
+    hold_cores, lookup_cores = hold.rate * hold.mean_work / 1e6, lookup.rate * lookup.mean_work / 1e6
     hold_share = min(1.0, cores / hold_cores)
     lookup_share = max(0.0, min(1.0, (cores - hold_cores) / lookup_cores))
     return (2 * hold.rate * hold_share + lookup.rate * lookup_share) / (2 * hold.rate + lookup.rate)
@@ -107,12 +112,12 @@
     case, policy, count, seed, load = job
     names = [f"m{n}" for n in range(count)]
     faults, changes, kills = case_faults(case, names)
-    simulation = Crowd(count, seed, Deal(load=load, **changes), POLICIES[policy], promises=policy == "ours")
+    simulation = ServiceSimulation(count, seed, SimulationParameters(load=load, **changes), POLICIES[policy], promises=policy == "ours")
     simulation.run(7 + BASELINE_S)
     start = simulation.now_s
     base = simulation.worth(start - BASELINE_S, start)
-    calls, rpcs = simulation.ledger.judge.calls, sum(simulation.asked.values())
-    simulation.play(faults)
+    calls, rpcs = simulation.ledger.stats.calls, sum(simulation.rpcs_by_second.values())
+    simulation.schedule_faults(faults)
     simulation.run(MEASURED_S + 5)
     shares = [simulation.worth(start + s, start + s + 1) / base for s in range(MEASURED_S + 5)]
     means = [sum(shares[s:s + 5]) / 5 for s in range(MEASURED_S)]
@@ -122,12 +127,12 @@
     ideal = sum(1 - upper_bound(simulation, kills, s + 0.5) for s in range(MEASURED_S))
     return {"shares": shares, "full": full, "bound": limit, "ideal": ideal,
             "area": sum(1 - share for share in shares[:MEASURED_S]),
-            "again": down, "peak": simulation.ledger.judge.most / (simulation.terms.slots * simulation.terms.crowd),
-            "deaths": simulation.ledger.judge.deaths,
-            "calls": (simulation.ledger.judge.calls - calls) / max(1, 0.66 * (sum(simulation.asked.values()) - rpcs)),
-            "twice": simulation.judge["twice"],
-            "tries": sum(simulation.sent.values()) / max(1, sum(simulation.asked.values())),
-            "kept": (sum(ok for _, ok in simulation.promised) / len(simulation.promised)) if simulation.promised
+            "again": down, "peak": simulation.ledger.stats.max_in_service / (simulation.ledger_parameters.slots * simulation.ledger_parameters.crowd),
+            "deaths": simulation.ledger.stats.deaths,
+            "calls": (simulation.ledger.stats.calls - calls) / max(1, 0.66 * (sum(simulation.rpcs_by_second.values()) - rpcs)),
+            "twice": simulation.counts["twice"],
+            "tries": sum(simulation.attempts_by_second.values()) / max(1, sum(simulation.rpcs_by_second.values())),
+            "kept": (sum(ok for _, ok in simulation.promised_results) / len(simulation.promised_results)) if simulation.promised_results
             else math.nan}
 
 
@@ -218,8 +223,8 @@
           "| peak load of the ledger | calls per RPC | last not served, s | promises kept |\n"
           "| --- | --- | --- | --- | --- | --- | --- | --- |", flush=True)
     with ThreadPoolExecutor(at_once) as pool:
-        for case in cases.split(";") if cases else HARD:
-            reports = list(pool.map(lambda seed, case=case: run_schedule(scene(case, members, seed)),
+        for case in cases.split(";") if cases else RECOVERY_SCENES:
+            reports = list(pool.map(lambda seed, case=case: run_schedule(scene_schedule(case, members, seed)),
                                     range(1, runs + 1)))
             for index, report in enumerate(reports):
                 for violation in report["violations"][:3]:
@@ -240,7 +245,7 @@
 def repeats(kills: int = 1000, members: int = 12, at_once: int = 2, rounds: int = 10,
             how: str = "kept;emptied") -> None:
     """Kills three quarters of the members every 4 s while keyed RPCs of 150 ms are retried; finds duplicate runs."""
-    load = HARD_LOAD | {"hold_deadline_ms": 6000, "work_s": 0.15, "cores": 4, "rate": 120.0, "tries": 30}
+    load = RECOVERY_LOAD | {"hold_deadline_ms": 6000, "work_s": 0.15, "cores": 4, "rate": 120.0, "tries": 30}
     names = [f"m{n}" for n in range(members)]
 
     def plan(seed: int, kind: str) -> Schedule:
@@ -273,11 +278,11 @@
 @app.command()
 def breaks(members: int = 8, at_once: int = 2) -> None:
     """Runs each seeded fault of the recovery and prints the rules that it violates."""
-    load = HARD_LOAD | {"hold_deadline_ms": 6000, "work_s": 0.15, "cores": 4, "rate": 120.0, "tries": 30}
+    load = RECOVERY_LOAD | {"hold_deadline_ms": 6000, "work_s": 0.15, "cores": 4, "rate": 120.0, "tries": 30}
 
     def run_fault(seeded_fault: str) -> str:
         case = DETECTING_SCENES[seeded_fault]
-        schedule = scene({"kills": "nine at once", "hour": "state an hour old"}.get(case, case), members)
+        schedule = scene_schedule({"kills": "nine at once", "hour": "state an hour old"}.get(case, case), members)
         if case == "kills":
             schedule.load = load
         rules = {violation["rule"] for violation in run_schedule(schedule, seeded_fault)["violations"]}
@@ -291,22 +296,22 @@
 def snapshot(methods: int = 16, times: int = 200) -> None:
     """Measures export (under the driver's lock), write, read and restore of a snapshot."""
     from hollystage.control import Control
-    from hollystage.decisions.comeback.recovery import harvest, sow
-    from hollystage.interface import Kind, Method
-    from hollystage.standins.scenes import settings_of
+    from hollystage.decisions.comeback.recovery import export_learned, restore_learned
+    from hollystage.interface import Method, MethodKind
+    from hollystage.standins.scenes import make_settings
     from hollystage.store import snapshot as stored
-    from hollystage.store.folder import Folder
+    from hollystage.store.folder import StateFolder
 
     names = [f"method-{n}" for n in range(methods)]
-    control = Control(settings_of([Method(Kind.IDEMPOTENT, 1.0, 1_000_000, 2_000_000) for _ in names]), 1, 0)
-    for method in control.runs:
-        control.runs[method].add(30_000.0, 0, 1)
+    control = Control(make_settings([Method(MethodKind.IDEMPOTENT, 1.0, 1_000_000, 2_000_000) for _ in names]), 1, 0)
+    for method in control.run_times:
+        control.run_times[method].add(30_000.0, 0, 1)
     durations: dict[str, list[float]] = {"export": [], "write": [], "write, CPU": [], "read": [], "restore": []}
     with tempfile.TemporaryDirectory() as path:
-        folder = Folder(path, "a")
+        folder = StateFolder(path, "a")
         for _ in range(times):
             started_at = time.perf_counter()
-            learned = harvest(control, names, 1)
+            learned = export_learned(control, names, 1)
             durations["export"].append(time.perf_counter() - started_at)
             started_at, cpu = time.perf_counter(), time.thread_time()
             size = stored.write(folder, stored.Snapshot(1, 1, 12, learned))
@@ -317,7 +322,7 @@
             durations["read"].append(time.perf_counter() - started_at)
             assert found is not None
             started_at = time.perf_counter()
-            sow(control, names, found.learned, age_s, 1)
+            restore_learned(control, names, found.learned, age_s, 1)
             durations["restore"].append(time.perf_counter() - started_at)
     print(f"{methods} methods, {size} bytes; ms, median and maximum: " + ", ".join(
         f"{name} {1000 * statistics.median(row):.3f} {1000 * max(row):.3f}" for name, row in durations.items()))
--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -16,23 +16,23 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
-from hollystage.decisions.budgets import purse as purses  # noqa: E402
-from hollystage.decisions.budgets.divider import Divider  # noqa: E402
-from hollystage.decisions.budgets.share import Share, Use  # noqa: E402
-from hollystage.decisions.budgets.terms import Budget  # noqa: E402
-from hollystage.decisions.budgets.words import Borrow, Claim, Loan, Parts  # noqa: E402
-from hollystage.decisions.leases.seeker import Seeker  # noqa: E402
-from hollystage.decisions.leases.terms import Electorate, Terms  # noqa: E402
+from hollystage.decisions.budgets import budget_allocator as purses  # noqa: E402
+from hollystage.decisions.budgets.allocator import Allocator  # noqa: E402
+from hollystage.decisions.budgets.claimant import Claimant, Usage  # noqa: E402
+from hollystage.decisions.budgets.messages import BorrowRequest, Claim, Grants, Loan  # noqa: E402
+from hollystage.decisions.budgets.parameters import Budget  # noqa: E402
+from hollystage.decisions.leases.candidate import Candidate  # noqa: E402
+from hollystage.decisions.leases.messages import ProcessId, Propose, Release  # noqa: E402
+from hollystage.decisions.leases.parameters import LeaseParameters, VoterSet  # noqa: E402
 from hollystage.decisions.leases.voter import Voter  # noqa: E402
-from hollystage.decisions.leases.words import Propose, Release, Who  # noqa: E402
 
 STEP = 4_000  # true time between two states; a slow clock advances by 3,000, a fast one by 5,000
 DRIFT = 0.25
-SLOW, FAST = 3, 5  # thousands per step
+SLOW_CLOCK, FAST_CLOCK = 3, 5  # thousands per step
 # attributes that do not distinguish states
 UNSEEN = {"_frozen", "counts", "chance", "next_at", "silent", "answered_at", "began",
           "first_after", "gained", "lost", "refused"}
-purses.EVERY = 0  # a step is shorter than the interval between two divisions
+purses.MIN_DIVISION_INTERVAL_US = 0  # a step is shorter than the interval between two divisions
 
 
 def deep_copy(value):
@@ -78,7 +78,7 @@
     return value if isinstance(value, int | float | str | bool | type(None)) else repr(value)
 
 
-class Found:
+class SearchResult:
     """Result of a search.
 
     `states`: number of distinct states; `depth`: levels that were searched; `trace`: the violation and the choices
@@ -86,10 +86,10 @@
     """
 
     def __init__(self, states, depth, trace, whole):
-        self.states, self.depth, self.trace, self.whole = states, depth, trace, whole
+        self.states, self.depth, self.trace, self.complete = states, depth, trace, whole
 
 
-def search(model, depth, most=1 << 60, seconds=1e9, each=None):
+def search(model, depth, max_states=1 << 60, seconds=1e9, on_state=None):
     """Searches breadth first until a violation, the depth, or a limit on states or seconds is reached.
 
     `on_state` is called with each new state and the number of states so far.
@@ -114,16 +114,16 @@
                     while new_path is not None:
                         trace.append(new_path[0])
                         new_path = new_path[1]
-                    return Found(states, level + 1, trace[::-1], False)
-                if each is not None:
-                    each(new, states)
+                    return SearchResult(states, level + 1, trace[::-1], False)
+                if on_state is not None:
+                    on_state(new, states)
                 following.append((new, new_path))
-                if states >= most or time.monotonic() > until:
-                    return Found(states, level, None, False)
+                if states >= max_states or time.monotonic() > until:
+                    return SearchResult(states, level, None, False)
         layer = following
         if not layer:
-            return Found(states, level, None, True)
-    return Found(states, depth, None, True)
+            return SearchResult(states, level, None, True)
+    return SearchResult(states, depth, None, True)
 
 
 class State:
@@ -168,7 +168,7 @@
 
     def clock(self, state, name):
         """Returns the time by the clock of a process."""
-        return 1_000_000 + state.step * 1_000 * self.rates.get(name, SLOW)
+        return 1_000_000 + state.step * 1_000 * self.rates.get(name, SLOW_CLOCK)
 
     def key(self, state):
         """Returns a value that is equal for equal states."""
@@ -207,19 +207,19 @@
                 yield f"late: {message}", after
 
 
-class Leases(Model):
+class LeaseModel(Model):
     """Voters v0.. and candidates s0.. of one lease.
 
     `voter` and `seeker` are the classes of the decision code, or subclasses with a seeded fault; `sets` are the voter
     sets of the candidates.
     """
 
-    def __init__(self, voter=Voter, seeker=Seeker, voters=3, seekers=2, terms=None, sets=None, **more):
+    def __init__(self, voter=Voter, seeker=Candidate, voters=3, seekers=2, terms=None, sets=None, **more):
         super().__init__(**more)
         self.classes = voter, seeker
-        self.parameters = terms or Terms(length=20_000, drift=DRIFT, margin=0)
+        self.parameters = terms or LeaseParameters(duration=20_000, drift=DRIFT, margin=0)
         self.names = [f"v{n}" for n in range(voters)]
-        self.voter_sets = sets or [Electorate(tuple(self.names))] * seekers
+        self.voter_sets = sets or [VoterSet(tuple(self.names))] * seekers
 
     def initial_state(self):
         """Returns the state in which no candidate has started a round."""
@@ -232,18 +232,18 @@
 
     def _new_candidate(self, state, name, n):
         state.births += 1
-        return self.classes[1](self.parameters, Who(name, state.births), self.voter_sets[n], 1,
+        return self.classes[1](self.parameters, ProcessId(name, state.births), self.voter_sets[n], 1,
                                     self.clock(state, name), n)
 
     def violation(self, state):
         """Returns a message if two candidates hold the lease or a ballot has been used by two; None otherwise."""
-        acting = [name for name, candidate in state.candidates.items() if candidate.held(self.clock(state, name))]
+        acting = [name for name, candidate in state.candidates.items() if candidate.holds_lease(self.clock(state, name))]
         if len(acting) > 1:
             return f"{' and '.join(acting)} hold the lease at the same time"
         for name in acting:
             candidate = state.candidates[name]
-            if state.holders.setdefault(candidate.number, candidate.me) != candidate.me:
-                return f"ballot {candidate.number} has two holders"
+            if state.holders.setdefault(candidate.ballot, candidate.me) != candidate.me:
+                return f"ballot {candidate.ballot} has two holders"
         return None
 
     def deliver(self, state, message):
@@ -257,7 +257,7 @@
             reply = voter.propose(body, now) if isinstance(body, Propose) else voter.prepare(body, now)
             return self.deliveries(state, [(sender, to, reply)], self.deliver)
         candidate = state.copy_for_change("candidates", to)
-        requests = candidate.heard(sender, body, self.clock(state, to))
+        requests = candidate.receive(sender, body, self.clock(state, to))
         return self.deliveries(state, [(voter, to, request) for voter, request in requests], self.deliver)
 
     def transitions(self, state):
@@ -268,11 +268,11 @@
             yield "time passes", new
         yield from self.delayed_deliveries(state, self.deliver)
         for name, candidate in state.candidates.items():
-            now, holds = self.clock(state, name), candidate.held(self.clock(state, name))
+            now, holds = self.clock(state, name), candidate.holds_lease(self.clock(state, name))
             acts = ["releases the lease", "renews"] if holds else [
-                "begins" if candidate.stage == "idle" else "abandons the round"]
+                "begins" if candidate.phase == "idle" else "abandons the round"]
             for act in acts:
-                if act == "renews" and candidate.stage != "idle":
+                if act == "renews" and candidate.phase != "idle":
                     continue
                 new = state.copy()
                 changed = new.copy_for_change("candidates", name)
@@ -293,7 +293,7 @@
                 new.voters[name] = self.classes[0](self.parameters, self.clock(state, name), 0)
                 yield f"{name} restarts without memory", new
 
-    def leads_to_a_holder(self, state):
+    def eventually_held(self, state):
         """Returns whether a candidate gets the lease within 40 steps if no further message is lost."""
         state = state.copy()
         for table, names in (("voters", list(state.voters)), ("candidates", list(state.candidates))):
@@ -314,24 +314,24 @@
                         queue.append((sender, to, handle(body, now)))
                     else:
                         now = self.clock(state, to)
-                        queue += [(voter, to, body) for voter, body in state.candidates[to].heard(sender, body, now)]
-            if any(candidate.held(self.clock(state, name)) for name, candidate in state.candidates.items()):
+                        queue += [(voter, to, body) for voter, body in state.candidates[to].receive(sender, body, now)]
+            if any(candidate.holds_lease(self.clock(state, name)) for name, candidate in state.candidates.items()):
                 return True
         return False
 
 
-class Budgets(Model):
+class BudgetModel(Model):
     """Members m0.. share the units of one budget, granted by at most one allocator at a time, as the lease ensures.
 
     `share` and `divider` are the classes of the decision code, or subclasses with a seeded fault; `lends`: whether
     members lend units to each other.
     """
 
-    def __init__(self, members=3, whole=4, floor=0, share=Share, divider=Divider, lends=False, **more):
+    def __init__(self, members=3, whole=4, floor=0, share=Claimant, divider=Allocator, lends=False, **more):
         super().__init__(**more)
         self.classes = share, divider
-        self.parameters = Terms(length=20_000, drift=DRIFT, margin=0)
-        self.budget = Budget("b", whole, floor, members, use=2 * STEP, kept=0.0)
+        self.parameters = LeaseParameters(duration=20_000, drift=DRIFT, margin=0)
+        self.budget = Budget("b", whole, floor, members, max_use_duration=2 * STEP, reserve_fraction=0.0)
         self.names, self.lends = [f"m{n}" for n in range(members)], lends
 
     def initial_state(self):
@@ -342,16 +342,16 @@
         state.members, state.uses, state.lingering = {}, {}, []
         for name in self.names:
             self._start_member(state, name)
-            allocation = state.members[name].holdings["b"]
-            allocation.floor_from = 0  # no earlier process of this name existed
+            allocation = state.members[name].allocations["b"]
+            allocation.floor_available_at = 0  # no earlier process of this name existed
         state.allocators["d"] = allocator = self.classes[1]([self.budget], self.parameters, 1, -10 ** 9)
         member, now = state.members["m0"], self.clock(state, "m0")
         for _ in range(4):
             self._report_usage(member, state, "m0")
-            claim = member._ask(now).word
-            grants = allocator.claimed(("m0", member.birth), claim, self.clock(state, "d"))
-            member.heard("d", grants, now)
-            usable = member.holdings["b"].usable(now)
+            claim = member._send_claim(now).payload
+            grants = allocator.handle_claim(("m0", member.birth), claim, self.clock(state, "d"))
+            member.receive("d", grants, now)
+            usable = member.allocations["b"].usable(now)
             state.uses["m0"] = ((0, usable),) if usable else ()
         return state
 
@@ -369,12 +369,12 @@
         """Returns a message if more units are in use than the budget has; None otherwise."""
         used = sum(self.units_in_use(state, name) for name in self.names) + sum(
             units for _, units in state.lingering)
-        return f"{used} of {self.budget.whole} in use" if used > self.budget.whole else None
+        return f"{used} of {self.budget.total} in use" if used > self.budget.total else None
 
     def _report_usage(self, member, state, name):
         """Reports the usage of a member whose decision module applies each change of the limit at once."""
-        usable, in_use = member.holdings["b"].usable(self.clock(state, name)), self.units_in_use(state, name)
-        member.used("b", Use(usable, in_use, max(0, self.budget.whole - in_use), 1.0))
+        usable, in_use = member.allocations["b"].usable(self.clock(state, name)), self.units_in_use(state, name)
+        member.report_usage("b", Usage(usable, in_use, max(0, self.budget.total - in_use), 1.0))
 
     def deliver(self, state, message):
         """Returns the states that follow from the arrival of a message."""
@@ -382,7 +382,7 @@
         if to == "d":
             if not state.allocators:
                 return [state]
-            grants = state.copy_for_change("allocators", "d").claimed(sender, body, self.clock(state, "d"))
+            grants = state.copy_for_change("allocators", "d").handle_claim(sender, body, self.clock(state, "d"))
             if grants is None:
                 return [state]
             return self.deliveries(state, [(sender, state.epoch, grants)], self.deliver)
@@ -391,11 +391,11 @@
             return [state]
         member, now = state.copy_for_change("members", name), self.clock(state, name)
         self._report_usage(member, state, name)
-        outgoing = member.heard("d" if isinstance(body, Parts) else sender[0], body, now)
+        outgoing = member.receive("d" if isinstance(body, Grants) else sender[0], body, now)
         self._report_usage(member, state, name)
-        if isinstance(body, Borrow):
-            outgoing += member._tell_loans(now)
-            messages = [(sender, (name, birth), one.word) for one in outgoing if isinstance(one.word, Loan)]
+        if isinstance(body, BorrowRequest):
+            outgoing += member._send_loans(now)
+            messages = [(sender, (name, birth), one.payload) for one in outgoing if isinstance(one.payload, Loan)]
             return self.deliveries(state, messages, self.deliver)
         return [state]
 
@@ -405,8 +405,8 @@
             new = state.copy()
             new.step += 1
             for name in self.names:
-                new.uses[name] = tuple(row for row in new.uses[name] if (new.step - row[0]) * STEP < self.budget.use)
-            new.lingering = [row for row in new.lingering if (new.step - row[0]) * STEP < self.budget.use]
+                new.uses[name] = tuple(row for row in new.uses[name] if (new.step - row[0]) * STEP < self.budget.max_use_duration)
+            new.lingering = [row for row in new.lingering if (new.step - row[0]) * STEP < self.budget.max_use_duration]
             yield "time passes", new
         yield from self.delayed_deliveries(state, self.deliver)
         new = state.copy()
@@ -419,7 +419,7 @@
             del new.allocators["d"]
             yield "the allocator dies", new
             new = state.copy()
-            unsolicited = new.copy_for_change("allocators", "d").offers(self.clock(state, "d"))
+            unsolicited = new.copy_for_change("allocators", "d").unsolicited_grants(self.clock(state, "d"))
             for after in self.deliveries(new, [(process, new.epoch, grants) for process, grants in unsolicited],
                                          self.deliver):
                 yield "the allocator sends unsolicited grants", after
@@ -428,7 +428,7 @@
 
     def _member_transitions(self, state, name, member):
         now = self.clock(state, name)
-        usable, in_use = deep_copy(member.holdings["b"]).usable(now), self.units_in_use(state, name)
+        usable, in_use = deep_copy(member.allocations["b"]).usable(now), self.units_in_use(state, name)
         if in_use < usable:
             new = state.copy()
             new.uses[name] += ((state.step, usable - in_use),)
@@ -441,7 +441,7 @@
             new = state.copy()
             changed = new.copy_for_change("members", name)
             self._report_usage(changed, new, name)
-            claim = changed._ask(now).word
+            claim = changed._send_claim(now).payload
             assert isinstance(claim, Claim)
             for after in self.deliveries(new, [("d", (name, member.birth), claim)], self.deliver):
                 yield f"{name} sends a claim", after
@@ -451,8 +451,8 @@
                     new = state.copy()
                     changed = new.copy_for_change("members", name)
                     self._report_usage(changed, new, name)
-                    messages = [((other, new.members[other].birth), (name, member.birth), outgoing.word)
-                                for outgoing in changed._borrow([other], now)]
+                    messages = [((other, new.members[other].birth), (name, member.birth), outgoing.payload)
+                                for outgoing in changed._request_loans([other], now)]
                     for after in self.deliveries(new, messages, self.deliver) if messages else ():
                         yield f"{name} borrows from {other}", after
         if state.crashes:
@@ -465,4 +465,4 @@
 
 def rates(names):
     """Returns all combinations of slow and fast clocks for these processes."""
-    return [dict(zip(names, row, strict=True)) for row in itertools.product((SLOW, FAST), repeat=len(names))]
+    return [dict(zip(names, row, strict=True)) for row in itertools.product((SLOW_CLOCK, FAST_CLOCK), repeat=len(names))]
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -31,10 +31,10 @@
 sys.path.insert(0, ROOT)
 
 from hollystage.decisions.membership.members import Members  # noqa: E402
-from hollystage.decisions.membership.terms import Terms  # noqa: E402
-from hollystage.standins.fleet.draw import SCENES  # noqa: E402
+from hollystage.decisions.membership.parameters import Parameters  # noqa: E402
 from hollystage.standins.fleet.faults import Fault  # noqa: E402
-from hollystage.standins.fleet.twin import SECOND, Node, Twin  # noqa: E402
+from hollystage.standins.fleet.fleet_simulation import SECOND, FleetSimulation, Node  # noqa: E402
+from hollystage.standins.fleet.schedules import SCENES  # noqa: E402
 
 app = typer.Typer(add_completion=False)
 
@@ -94,23 +94,23 @@
 
 # Virtual time
 
-class Careless(Members):
+class MembersWithoutStallDetection(Members):
     """Members without stall detection and local health, which run due timers before they handle a message."""
 
-    def _wake(self, now: int) -> None:
+    def _check_stall(self, now: int) -> None:
         self.now = max(self.now, now)
-        self.stalls.due = 0
-        self.health.score = 0
+        self.stall_detector.due = 0
+        self.local_health.score = 0
 
-    def heard(self, *arguments: Any) -> None:
+    def receive(self, *arguments: Any) -> None:
         self.tick(arguments[-1])
-        super().heard(*arguments)
+        super().receive(*arguments)
 
 
 def detect(job: tuple[int, int]) -> dict[str, float]:
     """Kills one member and returns when the first, the median and the last member hold it for lost (seconds)."""
     count, seed = job
-    fleet = Twin(count, seed, known=True)
+    fleet = FleetSimulation(count, seed, converged=True)
     fleet.run(5)
     messages, size, stream_bytes = fleet.messages, fleet.bytes, fleet.stream_bytes
     fleet.run(10)
@@ -118,10 +118,10 @@
     volume = (fleet.bytes - size + fleet.stream_bytes - stream_bytes) / count / 10
     first_event, killed_at = len(fleet.events), fleet.clock.now
     fleet.apply(Fault(0, "kill", [f"m{count - 1}"]))
-    agreed = fleet.until_agreed(90, 0.05)
+    agreed = fleet.run_until_agreed(90, 0.05)
     times = [(event[0] - killed_at) / SECOND for event in fleet.events[first_event:] if event[2] == "lost"]
     return {"count": count, "first": min(times), "median": statistics.median(times), "last": max(times),
-            "agreed": agreed or math.nan, "messages": rate, "bytes": volume, "wrong": fleet.wrong["lost"]}
+            "agreed": agreed or math.nan, "messages": rate, "bytes": volume, "wrong": fleet.false_accusations["lost"]}
 
 
 @app.command()
@@ -145,17 +145,17 @@
     rates of healthy members suspected, of healthy members held for lost and of paused members held for lost.
     """
     count, seed, detects_stalls, seconds = job
-    fleet = Twin(count, seed, known=True, kind=Members if detects_stalls else Careless)
+    fleet = FleetSimulation(count, seed, converged=True, members_class=Members if detects_stalls else MembersWithoutStallDetection)
     rng = random.Random(seed)
 
     def pause(node: Node) -> None:
         duration = rng.uniform(0.1, 0.9)
         fleet.pause(node, int(duration * SECOND))
-        fleet.clock.at(fleet.clock.now + int((duration + rng.uniform(0.02, 0.1)) * SECOND), lambda: pause(node))
+        fleet.clock.call_at(fleet.clock.now + int((duration + rng.uniform(0.02, 0.1)) * SECOND), lambda: pause(node))
     fleet.apply(Fault(0, "delay", list(fleet.nodes), amount=0.02, jitter=0.04))
     paused = [node for number, node in enumerate(fleet.nodes.values()) if number % 20 == 7]
     for node in paused:
-        fleet.clock.at(fleet.clock.now + int(rng.uniform(0, 4) * SECOND), lambda node=node: pause(node))
+        fleet.clock.call_at(fleet.clock.now + int(rng.uniform(0, 4) * SECOND), lambda node=node: pause(node))
     fleet.run(seconds)
     names = {node.name for node in paused}
     hours = count * seconds / 3600
@@ -186,7 +186,7 @@
     """Sends mutated, random, replayed and oversized datagrams to one agent of three and prints what changed."""
     import structlog
 
-    from hollystage.decisions.membership.records import Digest, Stage
+    from hollystage.decisions.membership.records import MemberStatus, Stage
     from hollystage.fleet.agent import Agent
     from hollystage.service.counters import Counters
     from hollystage.service.driver import clock
@@ -195,20 +195,20 @@
     key, agents = bytes(range(32)), []
     for number in range(3):
         address = f"127.0.9.{number + 1}:7400"
-        agents.append(Agent(f"a{number}", "z", address, address, ["127.0.9.1:7400"], key, "test", Terms(), 1,
-                            clock() // 1000, lambda: Digest(stage=Stage.SERVING), lambda boot: None, clock,
+        agents.append(Agent(f"a{number}", "z", address, address, ["127.0.9.1:7400"], key, "test", Parameters(), 1,
+                            clock() // 1000, lambda: MemberStatus(stage=Stage.SERVING), lambda boot: None, clock,
                             Counters(), structlog.get_logger()))
     for agent in agents:
-        for task in (agent.talk_forever, agent.listen_forever, agent.meet_forever):
+        for task in (agent.run_datagrams, agent.accept_streams, agent.run_syncs):
             threading.Thread(target=task, daemon=True).start()
     captured: list[bytes] = []
-    target, original_send = agents[0], agents[1].links.send
+    target, original_send = agents[0], agents[1].sockets.send
 
     def capture(address: str, data: bytes) -> bool:
         if address == target.bind:
             captured.append(data)
         return original_send(address, data)
-    agents[1].links.send = capture  # type: ignore[method-assign]
+    agents[1].sockets.send = capture  # type: ignore[method-assign]
     while len(captured) < 20 or len(target.view.living()) < 3:
         time.sleep(0.05)
     rng, memory_mb = random.Random(1), resident_mb()
@@ -226,7 +226,7 @@
                 data = bytearray(rng.randbytes(rng.randrange(1, 1200)))
             case 3:
                 data += rng.randbytes(1200)
-        sock.sendto(data, target.links.bind)
+        sock.sendto(data, target.sockets.bind)
         if number % 50 == 49:
             time.sleep(0.002)
     time.sleep(1)
@@ -259,20 +259,20 @@
 @app.command()
 def cost(blocks: int = 6, seconds: float = 8.0, rate: float = 200.0, before: str = "") -> None:
     """Measures CPU time and p99 of an RPC alone, in a fleet of 12, and with an earlier version (--before)."""
-    from hollystage.standins.caller import Load, Traffic
+    from hollystage.standins.caller import LoadGenerator, Traffic
     from hollystage.standins.fleet.faults import Schedule
-    from hollystage.standins.fleet.rig import Load as Machine
+    from hollystage.standins.fleet.rig import LoadGenerator as Machine
     from hollystage.standins.fleet.rig import Rig
-    from hollystage.standins.interpreter import Worker
-    from hollystage.standins.peers import ControlPlane, SteadyLedger
+    from hollystage.standins.interpreter import SimulatedInterpreter
+    from hollystage.standins.services import ControlPlane, FixedLatencyLedger
 
     folder = tempfile.mkdtemp(prefix="hollystage-cost-")
     last = max(os.sched_getaffinity(0))
     os.sched_setaffinity(0, os.sched_getaffinity(0) - {last})
     rig = Rig(Schedule(members=12), folder, Machine(rate=1.0))
-    rig._backends()
-    worker = Worker(4, {"rate-lookup": 0.01, "car-hold": 0.01})
-    ledger, control = SteadyLedger(0.001), ControlPlane()
+    rig._start_standins()
+    worker = SimulatedInterpreter(4, {"rate-lookup": 0.01, "car-hold": 0.01})
+    ledger, control = FixedLatencyLedger(0.001), ControlPlane()
     results: dict[str, list[tuple[float, float]]] = {}
     kinds = ["alone", "fleet of 12", *(["before"] if before else [])]
     for name in rig.names[1:]:
@@ -310,19 +310,19 @@
                         time.sleep(0.05)
                 time.sleep(2)
                 traffic = [Traffic("rate-lookup", rate * 0.66, 2.0), Traffic("car-hold", rate * 0.34, 2.1, True)]
-                load = Load(("127.0.8.1", 8080), traffic, block)
+                load = LoadGenerator(("127.0.8.1", 8080), traffic, block)
                 used = process_cpu_s(process.pid)
                 load.start()
                 time.sleep(seconds)
                 load.stop()
                 used = process_cpu_s(process.pid) - used
-                sent = sum(result.sent for result in load.tallies.values())
-                latencies = [latency for result in load.tallies.values() for latency in result.spans]
+                sent = sum(result.sent for result in load.results.values())
+                latencies = [latency for result in load.results.values() for latency in result.latencies_s]
                 results.setdefault(kind, []).append((used / sent * 1e6, quantile(latencies, 0.99) * 1000))
             finally:
                 process.terminate()
                 process.wait(10)
-    rig.end()
+    rig.shut_down()
     print("| instance | CPU per RPC, us | p99, ms |\n| --- | --- | --- |")
     for kind in kinds:
         print(f"| {kind} | {mean_and_interval([row[0] for row in results[kind]])} | "
--- a/benchmarks/plans.py
+++ b/benchmarks/plans.py
@@ -19,12 +19,12 @@
 ROOT = pathlib.Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from hollystage.language.sources import Memory  # noqa: E402
+from hollystage.language.sources import MemoryFolder  # noqa: E402
 from hollystage.plan.compiled import dump  # noqa: E402
-from hollystage.plan.read import Result, load, read  # noqa: E402
+from hollystage.plan.read import ReadResult, load, read  # noqa: E402
 from hollystage.standins.caller import Caller  # noqa: E402
 from hollystage.standins.interpreter import Interpreter  # noqa: E402
-from hollystage.standins.server import Answering, free_address, reply  # noqa: E402
+from hollystage.standins.server import ScriptedHttpServer, free_address, reply  # noqa: E402
 
 START_COUNT = 20
 
@@ -45,10 +45,10 @@
     return ['ledger("main", "127.0.0.1:7700")', *(f'pool("p{n}", guaranteed = 1%)' for n in range(9))]
 
 
-def check(text: str) -> tuple[float, Result]:
+def check(text: str) -> tuple[float, ReadResult]:
     """Checks a plan and returns the seconds that it took, and the result."""
     started_at = time.perf_counter()
-    result = read(Memory({"a.star": text.encode()}), "a.star")
+    result = read(MemoryFolder({"a.star": text.encode()}), "a.star")
     return time.perf_counter() - started_at, result
 
 
@@ -57,14 +57,14 @@
     check(written(10))
     for make_plan in (written, looped):
         times = {count: min(check(make_plan(count))[0] for _ in range(3)) for count in (1_000, 10_000)}
-        assert not check(make_plan(1_000))[1].faults
+        assert not check(make_plan(1_000))[1].diagnostics
         print(f"check, {make_plan.__name__:8} 1,000 routes {times[1000]:.3f} s, 10,000 routes {times[10000]:.3f} s, "
               f"{times[10000] / times[1000] / 10:.2f} of linear growth")
 
 
 def starts() -> None:
     """Compares starts with and without a compiled plan."""
-    interpreter, ledger, control = Interpreter(), Answering(reply(200, b"x")), Answering(reply(204))
+    interpreter, ledger, control = Interpreter(), ScriptedHttpServer(reply(200, b"x")), ScriptedHttpServer(reply(204))
     with tempfile.TemporaryDirectory() as folder:
         plan = load(str(ROOT / "examples" / "counter.star"))
         json_config = plan.configuration() | {"vm": _text(interpreter.address), "ledger": _text(ledger.address),
@@ -101,7 +101,7 @@
                 if time.perf_counter() - started_at > 10:
                     raise
                 time.sleep(0.002)
-        assert caller.ask("rates").status == 200
+        assert caller.request("rates").status == 200
         seconds = time.perf_counter() - started_at
         status = pathlib.Path(f"/proc/{process.pid}/status").read_text()
         return seconds, float(status.split("VmRSS:")[1].split()[0])
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -23,15 +23,15 @@
 
 from scipy import stats  # noqa: E402
 
-from hollystage.interface import Below, Pool, Pooling, Reserve  # noqa: E402
-from hollystage.standins.ledger import LedgerModel, Terms  # noqa: E402
-from hollystage.standins.scenes import START, Scene, settings_of, usual  # noqa: E402
-from hollystage.standins.sharing import Clock  # noqa: E402
-from hollystage.standins.virtual import SECOND, Box, Demand, hold, lookup  # noqa: E402
+from hollystage.interface import CallLimitConfig, Pool, PoolConfig, Reserve  # noqa: E402
+from hollystage.standins.ledger import LedgerModel, LedgerParameters  # noqa: E402
+from hollystage.standins.processor_sharing import VirtualClock  # noqa: E402
+from hollystage.standins.scenes import START_US, SceneSimulation, default_demands, make_settings  # noqa: E402
+from hollystage.standins.simulated_instance import SECOND, Demand, SimulatedInstance, idempotent_method, keyed_method  # noqa: E402
 
 FIXED_LIMITS = (1, 2, 3, 4, 6, 8, 10, 12, 16, 20, 25, 30, 40, 60)
 SCENES = ("slow", "dead", "weak", "waves")
-POOL_CONFIG = Pooling((Pool("lookups", 0.3), Pool("holds", 0.3)), (0, 1), Reserve(0.05, 0.05, 0.05))
+POOL_CONFIG = PoolConfig((Pool("lookups", 0.3), Pool("holds", 0.3)), (0, 1), Reserve(0.05, 0.05, 0.05))
 Variant = tuple[str, float, bool]  # policy, value of a fixed limit, whether there are pools
 VARIANTS: list[Variant] = [*(("fixed", float(value), False) for value in FIXED_LIMITS), ("window", 0, False),
                            *((policy, 0.0, True) for policy in ("window", "aimd", "gradient", "queue", "delivery"))]
@@ -45,14 +45,14 @@
     within target while the ledger is slow, and the maximum of calls in progress at the ledger.
     """
     name, seed, (policy, value, pooled) = job
-    below = Below("window") if policy == "window" else Below(policy, value or 1.0, value or 60.0)
-    scene = Scene(name, seed, seconds=END_S, below=below, pooling=POOL_CONFIG if pooled else None)
+    below = CallLimitConfig("window") if policy == "window" else CallLimitConfig(policy, value or 1.0, value or 60.0)
+    scene = SceneSimulation(name, seed, seconds=END_S, call_limit=below, pooling=POOL_CONFIG if pooled else None)
     instance = scene.run()
-    worth = instance.by_second(END_S)
+    worth = instance.worth_by_second(END_S)
     worst = min(sum(worth[at:at + WINDOW_S]) / WINDOW_S for at in range(START_S, END_S - WINDOW_S))
-    served = sum(instance.seconds[at].served["hold"] for at in range(15, 33) if at in instance.seconds)
+    served = sum(instance.results_by_second[at].served["hold"] for at in range(15, 33) if at in instance.results_by_second)
     sent = 34 * 1.2 * 18
-    return sum(worth[START_S:]) / (END_S - START_S), worst, served / sent, scene.ledger.judge.most
+    return sum(worth[START_S:]) / (END_S - START_S), worst, served / sent, scene.ledger.stats.max_in_service
 
 
 def mean_and_interval(values: list[float]) -> tuple[float, float]:
@@ -127,18 +127,18 @@
 
     The cheapest method sends 5 RPCs/s at every load, about a twentieth of the RPCs at the lowest one.
     """
-    cheap = Pooling((Pool("lookups", 0.3), Pool("holds", 0.3), Pool("views", 0.05)), (0, 1, 2),
+    cheap = PoolConfig((Pool("lookups", 0.3), Pool("holds", 0.3), Pool("views", 0.05)), (0, 1, 2),
                     Reserve(0.1, 0.05, 0.05))
     for name, pooling in (("no pools", None), ("pools and reserve", cheap)):
         shares = []
         for load in (1, 2, 4, 8):
             values = []
             for seed in range(1, seeds + 1):
-                view = Demand(lookup(skip_share=0.0, latency_target=500_000, deadline=2_000_000), "view", 5, 8_000)
-                scene = Scene("slow", seed, seconds=40, demands=[*usual(load), view], pooling=pooling)
+                view = Demand(idempotent_method(skip_share=0.0, latency_target=500_000, deadline=2_000_000), "view", 5, 8_000)
+                scene = SceneSimulation("slow", seed, seconds=40, demands=[*default_demands(load), view], pooling=pooling)
                 instance = scene.run()
-                served = sum(second.served["view"] for at, second in instance.seconds.items() if 5 <= at < 39)
-                values.append(served / max(1, instance.sent["view"] * 34 / 40))
+                served = sum(second.served["view"] for at, second in instance.results_by_second.items() if 5 <= at < 39)
+                values.append(served / max(1, instance.rpcs_by_method["view"] * 34 / 40))
             mean, half = mean_and_interval(values)
             shares.append(f"{load}x {mean:.1%} ± {half:.1%}")
         print(f"{name:18} cheapest method within target: {', '.join(shares)}")
@@ -150,14 +150,14 @@
         results = []
         for count in (0, 4, 64):
             methods = max(2, min(count, 64))
-            demands = [Demand(hold() if n % 3 == 2 else lookup(), f"m{n}", 120 / methods, 50_000, calls=n % 3 < 2)
+            demands = [Demand(keyed_method() if n % 3 == 2 else idempotent_method(), f"m{n}", 120 / methods, 50_000, makes_calls=n % 3 < 2)
                        for n in range(methods)]
-            pooling = Pooling(tuple(Pool(f"p{n}", 0.9 / count) for n in range(count)), tuple(range(count)),
+            pooling = PoolConfig(tuple(Pool(f"p{n}", 0.9 / count) for n in range(count)), tuple(range(count)),
                               Reserve(0.05)) if count else None
-            scene = Scene("slow", 1, seconds=40, demands=demands, pooling=pooling)
+            scene = SceneSimulation("slow", 1, seconds=40, demands=demands, pooling=pooling)
             started_at = time.process_time()
             instance = scene.run()
-            results.append(f"{count} pools {(time.process_time() - started_at) * 1e6 / instance.number:.0f} us "
+            results.append(f"{count} pools {(time.process_time() - started_at) * 1e6 / instance.attempt_count:.0f} us "
                            f"({methods} methods)")
         print(f"run {repetition + 1}: " + ", ".join(results))
 
@@ -166,31 +166,31 @@
     """Runs many instances at one ledger. Many calls in progress after its recovery would show a thundering herd."""
     instances = 300
     for policy, pooling in (("window", None), ("aimd", POOL_CONFIG)):
-        clock = Clock(START)
+        clock = VirtualClock(START_US)
         # slots for the whole fleet; `calls_out` of each instance is its share of the calls that the ledger survives
-        ledger = LedgerModel(clock, Terms(slots=6 * instances, patience=1_000_000), 1)
+        ledger = LedgerModel(clock, LedgerParameters(slots=6 * instances, overload_tolerance=1_000_000), 1)
         simulated_instances = []
         for number in range(instances):
-            demands = [Demand(d.method, d.name, d.rate / 3, d.work, d.calls) for d in usual(0.8)]
-            settings = settings_of([d.method for d in demands], cores=2, calls_out=10.0, pooling=pooling,
-                                   below=Below(policy, 0.0 if policy == "window" else 1.0, 0.0))
-            simulated_instances.append(Box(clock, settings, demands, ledger, number + 1))
+            demands = [Demand(d.method, d.name, d.rate / 3, d.mean_work, d.makes_calls) for d in default_demands(0.8)]
+            settings = make_settings([d.method for d in demands], cores=2, calls_out=10.0, pooling=pooling,
+                                   call_limit=CallLimitConfig(policy, 0.0 if policy == "window" else 1.0, 0.0))
+            simulated_instances.append(SimulatedInstance(clock, settings, demands, ledger, number + 1))
         samples: list[int] = []
 
-        def sample(ledger: LedgerModel = ledger, clock: Clock = clock, samples: list[int] = samples) -> None:
-            samples.append(len(ledger.work))
-            clock.at(clock.now + SECOND // 4, lambda: sample(ledger, clock, samples))
+        def sample(ledger: LedgerModel = ledger, clock: VirtualClock = clock, samples: list[int] = samples) -> None:
+            samples.append(len(ledger.in_service))
+            clock.call_at(clock.now + SECOND // 4, lambda: sample(ledger, clock, samples))
         sample()
-        clock.at(START + 8 * SECOND, lambda ledger=ledger: ledger.slow(8))
-        clock.at(START + 16 * SECOND, lambda ledger=ledger: ledger.slow(1))
+        clock.call_at(START_US + 8 * SECOND, lambda ledger=ledger: ledger.slow(8))
+        clock.call_at(START_US + 16 * SECOND, lambda ledger=ledger: ledger.slow(1))
         started_at = time.process_time()
-        clock.run(START + 26 * SECOND)
-        worth = [sum(instance.by_second(26)[at] for instance in simulated_instances) for at in range(26)]
+        clock.run(START_US + 26 * SECOND)
+        worth = [sum(instance.worth_by_second(26)[at] for instance in simulated_instances) for at in range(26)]
         print(f"{policy:6} {'with' if pooling else 'no'} pools, {instances} instances: served per second before "
               f"{sum(worth[3:8]) / 5:.0f}, slow {sum(worth[8:16]) / 8:.0f}, after, by second "
               f"{' '.join(f'{value:.0f}' for value in worth[16:25])}; calls in progress before "
               f"{max(samples[12:32])}, slow {max(samples[32:64])}, after {max(samples[66:])} of {6 * instances} "
-              f"slots; crashes {ledger.judge.deaths} ({time.process_time() - started_at:.0f} s)")
+              f"slots; crashes {ledger.stats.deaths} ({time.process_time() - started_at:.0f} s)")
 
 
 if __name__ == "__main__":
--- a/hollystage/benchlink/__main__.py
+++ b/hollystage/benchlink/__main__.py
@@ -1,7 +1,7 @@
 """Entry point: reads batches from standard input and writes one reply to each to standard output."""
 import sys
 
-from .frames import Malformed, read_batches
+from .frames import FrameError, read_batches
 from .host import Host
 
 
@@ -10,9 +10,9 @@
     host = Host()
     try:
         for now, events in read_batches(sys.stdin.buffer):
-            sys.stdout.buffer.write(host.batch(now, events))
+            sys.stdout.buffer.write(host.handle_batch(now, events))
             sys.stdout.buffer.flush()
-    except Malformed as error:
+    except FrameError as error:
         print(f"benchlink: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
--- a/hollystage/benchlink/frames.py
+++ b/hollystage/benchlink/frames.py
@@ -6,8 +6,8 @@
 from typing import Any, BinaryIO
 
 Event = tuple[Any, ...]  # name, number of the instance, other fields
-EVENT_SIZE, ACTION_SIZE, LARGEST = 56, 16, 1 << 30
-EVENTS: dict[int, tuple[str, struct.Struct]] = {
+EVENT_SIZE, ACTION_SIZE, MAX_FRAME_BYTES = 56, 16, 1 << 30
+EVENT_FORMATS: dict[int, tuple[str, struct.Struct]] = {
     1: ("called", struct.Struct(">HQHI")),
     2: ("timer", struct.Struct(">HQB4f")),
     3: ("gone", struct.Struct(">HQ")),
@@ -20,7 +20,7 @@
 }
 
 
-class Malformed(Exception):
+class FrameError(Exception):
     """The input is not a valid frame of this protocol."""
 
 
@@ -32,13 +32,13 @@
     """
     while head := stream.read(4):
         if len(head) < 4:
-            raise Malformed("input ends inside a frame's length")
+            raise FrameError("input ends inside a frame's length")
         (length,) = struct.unpack(">I", head)
-        if not 12 <= length <= LARGEST:
-            raise Malformed(f"a frame cannot be {length} bytes long")
+        if not 12 <= length <= MAX_FRAME_BYTES:
+            raise FrameError(f"a frame cannot be {length} bytes long")
         body = stream.read(length)
         if len(body) < length:
-            raise Malformed(f"input ends inside a frame: {len(body)} of {length} bytes")
+            raise FrameError(f"input ends inside a frame: {len(body)} of {length} bytes")
         yield decode(body)
 
 
@@ -51,18 +51,18 @@
     count, now = struct.unpack_from(">IQ", body)
     tail = 12 + count * EVENT_SIZE
     if tail > len(body):
-        raise Malformed(f"{count} events do not fit a frame of {len(body)} bytes")
+        raise FrameError(f"{count} events do not fit a frame of {len(body)} bytes")
     events = []
     for offset in range(12, tail, EVENT_SIZE):
-        event_format = EVENTS.get(body[offset])
+        event_format = EVENT_FORMATS.get(body[offset])
         if event_format is None:
-            raise Malformed(f"unknown event code {body[offset]}")
+            raise FrameError(f"unknown event code {body[offset]}")
         name, layout = event_format
         fields = layout.unpack_from(body, offset + 1)
         if name == "init":
             instance, seed, start, size = fields
             if tail + start + size > len(body):
-                raise Malformed("settings reach past the end of the frame")
+                raise FrameError("settings reach past the end of the frame")
             fields = (instance, seed, body[tail + start:tail + start + size])
         events.append((name, *fields))
     return now, events
--- a/hollystage/cli.py
+++ b/hollystage/cli.py
@@ -11,12 +11,12 @@
 import typer
 
 from . import __version__
-from .settings import Faulty
+from .settings import ConfigError
 
 if TYPE_CHECKING:
     from .service.instance import Instance
 
-FOREVER_S, DRAIN_S = 3600, 0.01  # wait for a signal; interval of checks whether the drain has finished
+SIGNAL_WAIT_S, DRAIN_POLL_S = 3600, 0.01  # wait for a signal; interval of checks whether the drain has finished
 
 app = typer.Typer(add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False,
                   help="Admission and scheduling inside servers behind other people's balancers.")
@@ -36,7 +36,7 @@
     SIGUSR1 logs the counters.
     """
     entered = time.monotonic()
-    from .decisions.leaving.notice import Notice
+    from .decisions.leaving.drain_notice import DrainNotice
     from .service.config import load
     from .service.driver import clock
     from .service.instance import Instance
@@ -51,40 +51,40 @@
         settings = load(config, plan, plan_key)
         log = setup(settings.name)
         instance = Instance(settings, log)
-    except Faulty as error:
+    except ConfigError as error:
         _fail(str(error))
     except OSError as error:
         _fail(f"listen: {settings.listen} cannot be used: {error.strerror}")
     # a drain signal sent during the start is received only from here on
-    notice = Notice(instance.driver.settings.drain_grace, clock() - int((time.monotonic() - entered) * 1e6))
-    instance.driver.notice = notice
+    notice = DrainNotice(instance.driver.settings.drain_grace, clock() - int((time.monotonic() - entered) * 1e6))
+    instance.driver.drain_notice = notice
     signal_thread = threading.get_ident()
-    instance.driver.look = lambda: signal.pthread_kill(signal_thread, signal.SIGURG)
+    instance.driver.check_signals = lambda: signal.pthread_kill(signal_thread, signal.SIGURG)
     instance.start()
     reload_requested = threading.Event()
     # files are read by another thread, so that a drain signal is received even while a read blocks
-    threading.Thread(target=_reload_forever, args=(reload_requested, instance, config, plan, plan_key),
+    threading.Thread(target=_run_reloads, args=(reload_requested, instance, config, plan, plan_key),
                      daemon=True).start()
     drain: threading.Thread | None = None
     polling = True  # the next wait only checks for a pending signal
     while drain is None or drain.is_alive():  # addresses may change during a drain too
         waited_from = clock()
-        match signal.sigtimedwait(watched, DRAIN_S if drain else 0 if polling else FOREVER_S):
+        match signal.sigtimedwait(watched, DRAIN_POLL_S if drain else 0 if polling else SIGNAL_WAIT_S):
             case None:
                 if polling:
-                    notice.silent(waited_from)
+                    notice.confirm_no_notice(waited_from)
                 polling = False
             case (signal.SIGURG, *_):
                 polling = True
             case (signal.SIGUSR1, *_):
-                log.info("counters", **instance.counters.read(), **instance.figures())
+                log.info("counters", **instance.counters.read(), **instance.metrics())
             case (signal.SIGHUP, *_):
                 reload_requested.set()
             case (signal.SIGTERM | signal.SIGINT, *_) if drain is None:
                 signal.signal(signal.SIGINT, signal.SIG_DFL)
                 signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGINT})
                 watched.discard(signal.SIGINT)
-                drain = threading.Thread(target=instance.drain, args=(notice.given(clock()),), daemon=True)
+                drain = threading.Thread(target=instance.drain, args=(notice.given_at(clock()),), daemon=True)
                 drain.start()
             case _:
                 # Python 3.11: if the process is suspended past the time-out, sigtimedwait reports a signal that
@@ -94,7 +94,7 @@
     os._exit(0)  # does not wait for threads that block on sockets
 
 
-def _reload_forever(reload_requested: threading.Event, instance: Instance, *paths: str) -> None:
+def _run_reloads(reload_requested: threading.Event, instance: Instance, *paths: str) -> None:
     """Reloads the configuration at each request."""
     while reload_requested.wait():
         reload_requested.clear()
@@ -110,7 +110,7 @@
 
     try:
         instance.reload(load(*paths))
-    except Faulty as error:
+    except ConfigError as error:
         instance.log.error("new configuration rejected", why=str(error))
     except MemoryError:
         instance.log.error("new configuration rejected", why="not enough memory to read it")
@@ -125,7 +125,7 @@
         loaded = load(config, plan, plan_key)
         check_files(loaded)
         typer.echo(f"{loaded.name}: good")
-    except Faulty as error:
+    except ConfigError as error:
         _fail(str(error))
 
 
--- a/hollystage/commands/demo.py
+++ b/hollystage/commands/demo.py
@@ -8,7 +8,7 @@
 import typer
 
 if TYPE_CHECKING:
-    from ..standins.caller import Tally
+    from ..standins.caller import MethodResults
 
 
 def demo(plan: Annotated[str, typer.Argument(help="The plan to run; its addresses are replaced.")] =
@@ -24,15 +24,15 @@
     from ..service.config import load
     from ..service.instance import Instance
     from ..service.log import setup
-    from ..settings import Faulty
-    from ..standins.caller import Load, Traffic
-    from ..standins.interpreter import Worker
-    from ..standins.peers import ControlPlane, SteadyLedger
+    from ..settings import ConfigError
+    from ..standins.caller import LoadGenerator, Traffic
+    from ..standins.interpreter import SimulatedInterpreter
     from ..standins.server import free_address
+    from ..standins.services import ControlPlane, FixedLatencyLedger
 
     try:
         config = load("", plan)
-    except Faulty as error:
+    except ConfigError as error:
         typer.echo(f"hollystage: {error}", err=True)
         raise typer.Exit(2) from error
     profiles = config.settings.profiles
@@ -40,16 +40,16 @@
         profiles, config.settings.domain.class_skip_worth, strict=False) if skip > 0]
     # run time of an RPC with which the rate uses seven tenths of the cores
     work_s = 0.7 * config.settings.domain.cores / rate
-    interpreter = Worker(int(config.settings.domain.cores), {p.name: work_s for p in profiles}, frozenset(calls),
+    interpreter = SimulatedInterpreter(int(config.settings.domain.cores), {p.name: work_s for p in profiles}, frozenset(calls),
                          seed)
-    ledger, control, listen = SteadyLedger(), ControlPlane(), free_address()
+    ledger, control, listen = FixedLatencyLedger(), ControlPlane(), free_address()
     config.listen = f"{listen[0]}:{listen[1]}"
     for key, stand_in in (("vm", interpreter), ("ledger", ledger), ("control", control)):
         setattr(config, key, f"{stand_in.address[0]}:{stand_in.address[1]}")
     instance = Instance(config, setup(config.name, sys.stderr if log else None))
     instance.start()
     traffic = [Traffic(p.name, rate / len(profiles), p.give_up_us / 1e6, p.repeat == "by_key") for p in profiles]
-    load_tool = Load(listen, traffic, seed)
+    load_tool = LoadGenerator(listen, traffic, seed)
     typer.echo(f"{plan}: {len(profiles)} methods on {int(config.settings.domain.cores)} cores, {rate:g} RPCs/s "
                f"to {config.listen} for {seconds:g} s")
     started_at = time.monotonic()
@@ -57,30 +57,30 @@
     while (elapsed := time.monotonic() - started_at) < seconds:
         time.sleep(min(0.25, max(0.01, seconds - elapsed)))
         counts = instance.counters.read()
-        _progress(f"{min(elapsed, seconds):5.1f} s  {counts.get('rpc.read', 0)} read, {counts.get('rpc.ok', 0)} ok, "
+        _show_progress(f"{min(elapsed, seconds):5.1f} s  {counts.get('rpc.read', 0)} read, {counts.get('rpc.ok', 0)} ok, "
                   f"{counts.get('rpc.pushed_back', 0)} rejected, {ledger.calls} calls")
     load_tool.stop()
-    _progress("draining")
+    _show_progress("draining")
     instance.drain()
     reported = control.reported.get(config.name, "nothing")
     instance.stop()
-    _progress("")
-    lost = _table(load_tool.tallies, {p.name: p.promise_us / 1e6 for p in profiles})
-    ran_twice = sum(count > 1 for count in interpreter.ran.values())
+    _show_progress("")
+    lost = _print_table(load_tool.results, {p.name: p.promise_us / 1e6 for p in profiles})
+    ran_twice = sum(count > 1 for count in interpreter.run_counts.values())
     typer.echo(f"last report to the control plane: {reported}; run twice: {ran_twice}; without an answer: {lost}")
     for stand_in in (interpreter, ledger, control):
         stand_in.close()
     raise typer.Exit(1 if lost or ran_twice else 0)
 
 
-def _progress(text: str) -> None:
+def _show_progress(text: str) -> None:
     """Replaces the last line of a terminal; prints nothing elsewhere."""
     if sys.stderr.isatty():
         sys.stderr.write(f"\r\x1b[K{text}")
         sys.stderr.flush()
 
 
-def _table(tallies: dict[str, Tally], targets: dict[str, float]) -> int:
+def _print_table(tallies: dict[str, MethodResults], targets: dict[str, float]) -> int:
     """Prints a table with one row per method; returns the number of RPCs without a complete answer.
 
     `targets` are the latency targets in seconds.
@@ -89,11 +89,11 @@
     typer.echo(f"{'method':16} {'sent':>6} {'ok':>6} {'rejected':>12} {'aborted':>8} {'in target':>10} "
                f"{'median':>9} {'p99':>9}")
     for method, tally in tallies.items():
-        latencies = sorted(tally.spans)
+        latencies = sorted(tally.latencies_s)
         in_target = sum(latency <= targets[method] for latency in latencies) / max(1, tally.sent)
         median, p99 = ((latencies[len(latencies) // 2], latencies[len(latencies) * 99 // 100]) if latencies
                        else (0.0, 0.0))
-        answers = tally.answers
+        answers = tally.outcomes
         lost += tally.sent - answers["ok"] - answers["pushed back"] - answers["aborted"]
         typer.echo(f"{method:16} {tally.sent:6} {answers['ok']:6} {answers['pushed back']:12} "
                    f"{answers['aborted']:8} {in_target:10.1%} {median * 1000:6.0f} ms {p99 * 1000:6.0f} ms")
--- a/hollystage/commands/lab.py
+++ b/hollystage/commands/lab.py
@@ -18,7 +18,7 @@
 Seconds = Annotated[float, typer.Option("--seconds", min=1, max=3600, help="Length of the schedule.")]
 Seed = Annotated[int, typer.Option("--seed", help="Seed for the schedule, the links and the traffic.")]
 Json = Annotated[bool, typer.Option("--json", help="One JSON object on standard output.")]
-Break = Annotated[str, typer.Option("--break", help="Activate this seeded fault in every member; see docs/lab.md.")]
+SeededFault = Annotated[str, typer.Option("--break", help="Activate this seeded fault in every member; see docs/lab.md.")]
 Report = Annotated[str, typer.Option("--report", help="Draw a timeline of every member into this PNG file.")]
 Keep = Annotated[str, typer.Option("--keep", help="Keep histories and logs in this folder.")]
 
@@ -39,78 +39,78 @@
           settle: Annotated[float, typer.Option("--settle", min=1, max=600, help="Seconds for views to agree.")]
           = 40.0,
           shrink: Annotated[bool, typer.Option("--shrink", help="Reduce a failing schedule; takes many runs.")]
-          = False, broken: Break = "", report: Report = "", keep: Keep = "", json: Json = False) -> None:
+          = False, broken: SeededFault = "", report: Report = "", keep: Keep = "", json: Json = False) -> None:
     """Start a fleet with stand-ins for its peers, inject faults, and check the recorded histories against the rules.
 
     Exits with code 0 if no rule was violated, with 1 if one was, and with 2 if the arguments cannot be used.
     """
     import msgspec
 
-    from ..standins.fleet.aftermath import comeback
-    from ..standins.fleet.breaks import BREAKS
-    from ..standins.fleet.check import CHATTER, membership, rules
-    from ..standins.fleet.draw import SCENES, drawn, fewest
-    from ..standins.fleet.draw import scene as scene_of
+    from ..standins.fleet.budget_check import allocator_datagram_rate, check_budgets
+    from ..standins.fleet.check import MAX_DATAGRAMS_PER_S, check_membership, check_rules
+    from ..standins.fleet.recovery_check import check_recovery
     from ..standins.fleet.rig import Load
-    from ..standins.fleet.sums import budgets, chatter
+    from ..standins.fleet.schedules import SCENES, minimize_faults, random_schedule
+    from ..standins.fleet.schedules import scene_schedule as scene_of
+    from ..standins.fleet.seeded_faults import SEEDED_FAULTS
 
-    if broken and broken not in BREAKS:
-        _end(f"--break: unknown fault {broken!r}; known faults: {', '.join(BREAKS)}")
+    if broken and broken not in SEEDED_FAULTS:
+        _fail(f"--break: unknown fault {broken!r}; known faults: {', '.join(SEEDED_FAULTS)}")
     if scene and scene not in SCENES:
-        _end(f"--scene: unknown scene {scene!r}; known scenes: {', '.join(SCENES)}")
+        _fail(f"--scene: unknown scene {scene!r}; known scenes: {', '.join(SCENES)}")
     if schedule:
         plan = read_schedule(schedule)
     else:
-        plan = scene_of(scene, members, seed) if scene else drawn(seed, members, seconds)
+        plan = scene_of(scene, members, seed) if scene else random_schedule(seed, members, seconds)
     plan.load |= {"rate": rate} if rate else {}
     try:
         load = msgspec.convert(plan.load | {"period_ms": period, "settle_s": settle}, Load)
     except msgspec.ValidationError as error:
-        _end(f"the load of the schedule is invalid: {error}")
+        _fail(f"the load of the schedule is invalid: {error}")
 
-    def check_rules(lines: list[Line]) -> list[Violation]:
-        return rules(lines, load, across_lives=True) + membership(
-            lines, CHATTER + chatter(load, plan.members)) + comeback(lines) + budgets(
+    def find_violations(lines: list[Line]) -> list[Violation]:
+        return check_rules(lines, load, across_restarts=True) + check_membership(
+            lines, MAX_DATAGRAMS_PER_S + allocator_datagram_rate(load, plan.members)) + check_recovery(lines) + check_budgets(
             lines, load.whole)
 
-    lines = play(plan, load, broken, keep)
-    violations = check_rules(lines)
+    lines = run_schedule(plan, load, broken, keep)
+    violations = find_violations(lines)
     if violations and shrink:
         def fails(faults: list[Fault]) -> bool:
             typer.echo(f"running {len(faults)} events ...", err=True)
-            return bool(check_rules(play(msgspec.structs.replace(plan, faults=faults), load, broken, "")))
-        plan.faults = fewest(plan.faults, fails)
-    tell(plan, lines, violations, load, json, report)
+            return bool(find_violations(run_schedule(msgspec.structs.replace(plan, faults=faults), load, broken, "")))
+        plan.faults = minimize_faults(plan.faults, fails)
+    print_results(plan, lines, violations, load, json, report)
 
 
-def play(plan: Schedule, load: Any, broken: str, keep: str) -> list[Line]:
+def run_schedule(plan: Schedule, load: Any, broken: str, keep: str) -> list[Line]:
     """Runs a fleet under a schedule and returns the merged history; histories and logs stay in the folder `keep`."""
     from ..standins.fleet.rig import Rig
 
     if keep:
         if os.path.exists(keep) and os.listdir(keep):
-            _end(f"--keep: {keep} is not empty")
+            _fail(f"--keep: {keep} is not empty")
         return Rig(plan, keep, load, broken).run()
     with tempfile.TemporaryDirectory(prefix="hollystage-lab-") as folder:
         return Rig(plan, folder, load, broken).run()
 
 
-def tell(plan: Schedule, lines: list[Line], violations: list[Violation], load: Any, json: bool,
+def print_results(plan: Schedule, lines: list[Line], violations: list[Violation], load: Any, json: bool,
          report: str) -> NoReturn:
     """Prints the figures and violations of a run, stores a failing schedule, and ends the command."""
     import msgspec
 
-    from ..standins.fleet import aftermath, sums
-    from ..standins.fleet.check import measured
+    from ..standins.fleet import budget_check, recovery_check
+    from ..standins.fleet.check import run_metrics
 
     if report:
-        _draw(lines, report)
-    figures = measured(lines, plan.seconds) | {"comeback": aftermath.figures(lines, load.warm_up_s)}
+        _draw_timeline(lines, report)
+    figures = run_metrics(lines, plan.seconds) | {"comeback": recovery_check.recovery_metrics(lines, load.warm_up_s)}
     if load.whole:
-        figures["budget"] = sums.figures(lines, load.whole)
+        figures["budget"] = budget_check.budget_metrics(lines, load.whole)
     if json:
         typer.echo(msgspec.json.format(msgspec.json.encode(
-            {"violations": violations, "seed": plan.seed, "faults": plan.kinds(), "measured": figures})).decode())
+            {"violations": violations, "seed": plan.seed, "faults": plan.fault_counts(), "measured": figures})).decode())
     else:
         for name, value in figures.items():
             typer.echo(f"{name:20} {value}")
@@ -135,24 +135,24 @@
         with open(path, "rb") as file:
             plan = msgspec.json.decode(file.read(), type=Schedule)
     except OSError as error:
-        _end(f"--schedule: {path} cannot be read: {error.strerror}")
+        _fail(f"--schedule: {path} cannot be read: {error.strerror}")
     except msgspec.DecodeError as error:
-        _end(f"--schedule: {path}: {error}")
-    unknown = plan.unknown()
+        _fail(f"--schedule: {path}: {error}")
+    unknown = plan.unknown_party()
     if unknown:
-        _end(f"--schedule: {path}: no party is called {unknown!r}")
+        _fail(f"--schedule: {path}: no party is called {unknown!r}")
     return plan
 
 
-def _draw(lines: list[Line], path: str) -> None:
+def _draw_timeline(lines: list[Line], path: str) -> None:
     try:
         from .timeline import draw
     except ImportError:
-        _end("--report needs matplotlib: pip install 'hollystage[lab]'")
+        _fail("--report needs matplotlib: pip install 'hollystage[lab]'")
     draw(lines, path)
 
 
-def _end(message: str) -> NoReturn:
+def _fail(message: str) -> NoReturn:
     """Prints an error and exits with code 2."""
     typer.echo(f"hollystage: {message}", err=True)
     raise typer.Exit(2)
--- a/hollystage/decisions/budgets/words.py
+++ b/hollystage/decisions/budgets/messages.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from ..leases.words import Question, Reply
+from ..leases.messages import LeaseRequest, Reply
 
-MOST_ROWS, MOST_NAME, MOST_UNITS = 8, 32, 1 << 30
+MAX_ROWS, MAX_NAME_LENGTH, MAX_UNITS = 8, 32, 1 << 30
 
 
-class Row(msgspec.Struct, frozen=True, array_like=True):
+class ClaimRow(msgspec.Struct, frozen=True, array_like=True):
     """One budget in a claim, in units.
 
     `committed`: the most that the process may use from now on without a further answer, including what it still
@@ -23,10 +23,10 @@
     """
 
     name: str
-    held: int
+    committed: int
     own: int
     floor: int
-    using: int
+    in_use: int
     need: int
     weight: float
 
@@ -38,37 +38,37 @@
     `epoch`: ballot of the allocator's lease as far as the claimant knows, 0 for none.
     """
 
-    turn: int
+    request_id: int
     epoch: int
-    rows: list[Row]
+    rows: list[ClaimRow]
 
 
-class Piece(msgspec.Struct, frozen=True, array_like=True):
+class Grant(msgspec.Struct, frozen=True, array_like=True):
     """The units of one budget that a process may use, including its floor."""
 
     name: str
-    part: int
+    units: int
 
 
-class Parts(msgspec.Struct, frozen=True, array_like=True, tag=41):
+class Grants(msgspec.Struct, frozen=True, array_like=True, tag=41):
     """The answer to a claim, or a later message for the same claim with more units or fewer."""
 
-    turn: int
+    request_id: int
     epoch: int
-    rows: list[Piece]
+    grants: list[Grant]
 
 
-class Elsewhere(msgspec.Struct, frozen=True, array_like=True, tag=42):
+class Redirect(msgspec.Struct, frozen=True, array_like=True, tag=42):
     """Names the allocator, as far as the sender knows; the name is empty if there is none."""
 
-    turn: int
+    request_id: int
     allocator: str
 
 
-class Borrow(msgspec.Struct, frozen=True, array_like=True, tag=43):
+class BorrowRequest(msgspec.Struct, frozen=True, array_like=True, tag=43):
     """Requests a loan of units from a peer."""
 
-    turn: int
+    request_id: int
     name: str
     units: int
 
@@ -76,39 +76,39 @@
 class Loan(msgspec.Struct, frozen=True, array_like=True, tag=44):
     """Lends units. `remaining` is its duration in microseconds of the lender's clock, from when the loan was sent."""
 
-    turn: int
+    request_id: int
     name: str
     units: int
-    left: int
+    remaining: int
 
 
-Word = Claim | Parts | Elsewhere | Borrow | Loan
+BudgetMessage = Claim | Grants | Redirect | BorrowRequest | Loan
 
 
-class Message(NamedTuple):
+class Outgoing(NamedTuple):
     """A message to send, with the name of the process that it is for."""
 
-    to: str
-    word: Word | Question | Reply
+    recipient: str
+    payload: BudgetMessage | LeaseRequest | Reply
 
 
-def sane(message: Word) -> bool:
+def is_valid(message: BudgetMessage) -> bool:
     """Returns whether the fields of a received message are within their bounds."""
-    if not 0 <= message.turn < 1 << 62:
+    if not 0 <= message.request_id < 1 << 62:
         return False
     match message:
         case Claim():
-            return len(message.rows) <= MOST_ROWS and 0 <= message.epoch < 1 << 62 and all(
-                len(row.name) <= MOST_NAME and 0 <= row.weight < 1e9 and all(
-                    0 <= units <= MOST_UNITS for units in (row.held, row.own, row.floor, row.using, row.need))
+            return len(message.rows) <= MAX_ROWS and 0 <= message.epoch < 1 << 62 and all(
+                len(row.name) <= MAX_NAME_LENGTH and 0 <= row.weight < 1e9 and all(
+                    0 <= units <= MAX_UNITS for units in (row.committed, row.own, row.floor, row.in_use, row.need))
                 for row in message.rows)
-        case Parts():
-            return len(message.rows) <= MOST_ROWS and 0 <= message.epoch < 1 << 62 and all(
-                len(grant.name) <= MOST_NAME and 0 <= grant.part <= MOST_UNITS for grant in message.rows)
-        case Elsewhere():
+        case Grants():
+            return len(message.grants) <= MAX_ROWS and 0 <= message.epoch < 1 << 62 and all(
+                len(grant.name) <= MAX_NAME_LENGTH and 0 <= grant.units <= MAX_UNITS for grant in message.grants)
+        case Redirect():
             return len(message.allocator) <= 64
-        case Borrow():
-            return len(message.name) <= MOST_NAME and 0 <= message.units <= MOST_UNITS
+        case BorrowRequest():
+            return len(message.name) <= MAX_NAME_LENGTH and 0 <= message.units <= MAX_UNITS
         case Loan():
-            return (len(message.name) <= MOST_NAME and 0 <= message.units <= MOST_UNITS
-                    and 0 <= message.left < 1 << 50)
+            return (len(message.name) <= MAX_NAME_LENGTH and 0 <= message.units <= MAX_UNITS
+                    and 0 <= message.remaining < 1 << 50)
--- a/hollystage/decisions/budgets/terms.py
+++ b/hollystage/decisions/budgets/parameters.py
@@ -18,7 +18,7 @@
 from math import ceil
 from typing import NamedTuple
 
-from ..leases.terms import Terms
+from ..leases.parameters import LeaseParameters
 
 
 class Budget(NamedTuple):
@@ -30,35 +30,35 @@
     """
 
     name: str
-    whole: int
+    total: int
     floor: int = 1
     max_processes: int = 1
-    use: int = 2_000_000
-    kept: float = 0.05
+    max_use_duration: int = 2_000_000
+    reserve_fraction: float = 0.05
 
     @property
-    def divided(self) -> int:
+    def grantable(self) -> int:
         """Units that are granted for a limited time, beside the floors."""
-        return max(0, self.whole - self.floor * self.max_processes)
+        return max(0, self.total - self.floor * self.max_processes)
 
     @property
-    def spare(self) -> int:
+    def reserve(self) -> int:
         """Units reserved for new processes, which then need not wait for other grants to end.
 
-        >>> Budget("b", 40, 1, 12).spare, Budget("b", 4, 0, 12).spare, Budget("b", 3, 0, 3, kept=0.0).spare
+        >>> Budget("b", 40, 1, 12).reserve, Budget("b", 4, 0, 12).reserve, Budget("b", 3, 0, 3, kept=0.0).reserve
         (2, 1, 0)
         """
-        return min(self.divided, ceil(self.kept * self.divided))
+        return min(self.grantable, ceil(self.reserve_fraction * self.grantable))
 
 
-def after_use(budget: Budget, terms: Terms) -> int:
+def charge_duration(budget: Budget, terms: LeaseParameters) -> int:
     """Returns the time from an answer until its grant is certainly no longer in use, by the allocator's clock."""
-    return terms.length + terms.surely(budget.use)
+    return terms.duration + terms.safe_wait(budget.max_use_duration)
 
 
-def floor_after(budget: Budget, terms: Terms) -> int:
+def floor_delay(budget: Budget, terms: LeaseParameters) -> int:
     """Returns the time from a process's start until it may use its floor.
 
     By then what an earlier process of the same name used or lent has certainly ended, by the new process's clock.
     """
-    return terms.surely(terms.length) + terms.surely(budget.use)
+    return terms.safe_wait(terms.duration) + terms.safe_wait(budget.max_use_duration)
--- a/hollystage/decisions/calls/limits.py
+++ b/hollystage/decisions/calls/limits.py
@@ -17,20 +17,20 @@
 
 from ...interface import Outcome
 
-UNPROVEN = (Outcome.TIMEOUT, Outcome.RESET)  # a single lost reply does not prove that the ledger is overloaded
-REFUSED = (Outcome.FULL, Outcome.CONNECT_FAILED)
+LOST_REPLY_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET)  # a single lost reply does not prove that the ledger is overloaded
+REFUSED_OUTCOMES = (Outcome.FULL, Outcome.CONNECT_FAILED)
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
+class CallResult:
     """Result of one call; times in microseconds."""
 
     outcome: Outcome
-    spent: int
-    open: int  # calls in flight, including this one
-    usual: float  # of a call to a healthy ledger
-    odd: bool  # the reply was slow or lost; a single one says nothing about the ledger
-    bad: bool  # a refusal, a failure, or a slow or lost reply among many
+    duration: int
+    in_flight: int  # calls in flight, including this one
+    typical_duration: float  # of a call to a healthy ledger
+    slow_or_lost: bool  # the reply was slow or lost; a single one says nothing about the ledger
+    congestion_signal: bool  # a refusal, a failure, or a slow or lost reply among many
     now: int
 
 
@@ -39,45 +39,45 @@
 
     value: float
 
-    def ended(self, call: Ended) -> None:
+    def on_call_end(self, call: CallResult) -> None:
         """Adapts the limit to the result of one call."""
 
-    def bound(self, min_value: float, max_value: float) -> None:
+    def set_bounds(self, min_value: float, max_value: float) -> None:
         """Sets new bounds; the value is clamped to them immediately."""
 
-    def stalled(self, now: int) -> None:
+    def on_stall(self, now: int) -> None:
         """Reports that this process was suspended until `now`: calls that started earlier ended late for that reason,
         so their results are ignored."""
 
 
-class Bounded:
+class BoundedLimit:
     """Base of the limits: a value between two bounds. Results of calls that started before a stall are ignored."""
 
     def __init__(self, start: float, min_value: float, max_value: float, now: int = 0) -> None:
-        self.cut_at = now
-        self.least, self.most = max(0.001, min_value), max(0.001, min_value, max_value)
-        self.value = max(self.least, min(start, self.most))
-        self.blind_until = 0
+        self.decreased_at = now
+        self.min_value, self.max_value = max(0.001, min_value), max(0.001, min_value, max_value)
+        self.value = max(self.min_value, min(start, self.max_value))
+        self.ignore_until = 0
 
-    def bound(self, min_value: float, max_value: float) -> None:
-        self.least, self.most = max(0.001, min_value), max(0.001, min_value, max_value)
-        self._set(self.value)
+    def set_bounds(self, min_value: float, max_value: float) -> None:
+        self.min_value, self.max_value = max(0.001, min_value), max(0.001, min_value, max_value)
+        self._set_value(self.value)
 
-    def stalled(self, now: int) -> None:
-        self.blind_until = now
+    def on_stall(self, now: int) -> None:
+        self.ignore_until = now
 
-    def _set(self, value: float) -> None:
-        self.value = max(self.least, min(value, self.most))
+    def _set_value(self, value: float) -> None:
+        self.value = max(self.min_value, min(value, self.max_value))
 
 
-class Fixed(Bounded):
+class FixedLimit(BoundedLimit):
     """A constant limit."""
 
-    def ended(self, call: Ended) -> None:
+    def on_call_end(self, call: CallResult) -> None:
         pass
 
 
-class Window(Bounded):
+class WindowLimit(BoundedLimit):
     """Grows by one per round trip of good replies; multiplied by `DECREASE_FACTOR` on a congestion signal, at most
     once per typical call duration.
 
@@ -85,120 +85,120 @@
     not fully used: on the users' platform an unused limit costs nothing, and a burst can use it immediately.
     """
 
-    CUT = 0.7
+    DECREASE_FACTOR = 0.7
 
-    def ended(self, call: Ended) -> None:
-        if call.outcome is Outcome.OK and not call.odd:
+    def on_call_end(self, call: CallResult) -> None:
+        if call.outcome is Outcome.OK and not call.slow_or_lost:
             self.value += min(self.value, 1 / self.value)
-        if call.bad and call.now - self.cut_at > call.usual:
-            self.value, self.cut_at = self.value * self.CUT, call.now
-        self._set(self.value)
+        if call.congestion_signal and call.now - self.decreased_at > call.typical_duration:
+            self.value, self.decreased_at = self.value * self.DECREASE_FACTOR, call.now
+        self._set_value(self.value)
 
 
-class Aimd(Bounded):
+class AimdLimit(BoundedLimit):
     """Additive increase while the limit is used, multiplicative decrease once per round trip (AIMD).
 
     After a decrease it grows only as fast as calls end, so a slow ledger makes it grow slowly.
     """
 
-    KEPT, USED = 0.85, 0.5  # the latter: share of the limit that must be in flight for an increase
+    DECREASE_FACTOR, MIN_UTILIZATION = 0.85, 0.5  # the latter: share of the limit that must be in flight for an increase
 
     def __init__(self, start: float, min_value: float, max_value: float, now: int = 0) -> None:
         super().__init__(start, min_value, max_value, now)
-        self.first = True  # until the first decrease the limit doubles each round trip, for a quick cold start
+        self.slow_start = True  # until the first decrease the limit doubles each round trip, for a quick cold start
 
-    def ended(self, call: Ended) -> None:
-        if call.outcome is Outcome.CANCELLED or call.now - call.spent < self.blind_until:
+    def on_call_end(self, call: CallResult) -> None:
+        if call.outcome is Outcome.CANCELLED or call.now - call.duration < self.ignore_until:
             return
-        if call.bad:
+        if call.congestion_signal:
             # a call that started before the last decrease reflects the load before it
-            if call.now - call.spent > self.cut_at:
-                self._set(self.value * self.KEPT)
-                self.cut_at, self.first = call.now, False
-        elif call.outcome is Outcome.OK and not call.odd and call.open >= self.USED * self.value:
-            self._set(self.value + (1.0 if self.first else 1 / max(1.0, self.value)))
+            if call.now - call.duration > self.decreased_at:
+                self._set_value(self.value * self.DECREASE_FACTOR)
+                self.decreased_at, self.slow_start = call.now, False
+        elif call.outcome is Outcome.OK and not call.slow_or_lost and call.in_flight >= self.MIN_UTILIZATION * self.value:
+            self._set_value(self.value + (1.0 if self.slow_start else 1 / max(1.0, self.value)))
 
 
-class Least:
+class WindowedMinimum:
     """Approximate minimum of a quantity over the last `span`, from the minima of two half spans.
 
-    >>> least = Least(100)
+    >>> least = WindowedMinimum(100)
     >>> [least.add(value, now) for value, now in ((5, 0), (9, 40), (9, 60), (9, 120))]
     [5, 5, 5, 9]
     """
 
     def __init__(self, span: int) -> None:
-        self.half, self.turned = span // 2, 0
-        self.now: float = 0.0
-        self.before: float = 0.0
+        self.half_span, self.rotated_at = span // 2, 0
+        self.current: float = 0.0
+        self.previous: float = 0.0
 
     def add(self, value: float, now: int) -> float:
         """Adds a value and returns the current minimum."""
-        if not self.now:
-            self.now = self.before = value
-            self.turned = now
-        elif now - self.turned >= self.half:
-            self.before = self.now if now - self.turned < 2 * self.half else value
-            self.now, self.turned = value, now
-        self.now = min(self.now, value)
-        return min(self.now, self.before)
+        if not self.current:
+            self.current = self.previous = value
+            self.rotated_at = now
+        elif now - self.rotated_at >= self.half_span:
+            self.previous = self.current if now - self.rotated_at < 2 * self.half_span else value
+            self.current, self.rotated_at = value, now
+        self.current = min(self.current, value)
+        return min(self.current, self.previous)
 
 
-class ByLatency(Bounded):
+class LatencyLimit(BoundedLimit):
     """Base of the limits that compare the minimum latency of the last 10 s with the current latency.
 
     A congestion signal decreases the limit to nine tenths.
     """
 
-    SPAN = 10_000_000
+    BASELINE_SPAN = 10_000_000
 
     def __init__(self, start: float, min_value: float, max_value: float, now: int = 0) -> None:
         super().__init__(start, min_value, max_value, now)
-        self.base = Least(self.SPAN)
-        self.recent = 0.0
+        self.min_latency = WindowedMinimum(self.BASELINE_SPAN)
+        self.recent_latency = 0.0
 
-    def ended(self, call: Ended) -> None:
-        if call.outcome is Outcome.CANCELLED or call.now - call.spent < self.blind_until:
+    def on_call_end(self, call: CallResult) -> None:
+        if call.outcome is Outcome.CANCELLED or call.now - call.duration < self.ignore_until:
             return
         if call.outcome is Outcome.OK:
-            min_latency = max(self.base.add(call.spent, call.now), 1.0)
-            self.recent += (call.spent - self.recent) * (0.1 if self.recent else 1)
+            min_latency = max(self.min_latency.add(call.duration, call.now), 1.0)
+            self.recent_latency += (call.duration - self.recent_latency) * (0.1 if self.recent_latency else 1)
             # a limit that is not the bottleneck must not grow
-            self._learn(min_latency / max(self.recent, 1.0), call.open >= self.value / 2)
-        elif call.bad:
-            self._set(self.value * 0.9)
+            self._adjust(min_latency / max(self.recent_latency, 1.0), call.in_flight >= self.value / 2)
+        elif call.congestion_signal:
+            self._set_value(self.value * 0.9)
 
-    def _learn(self, gradient: float, is_used: bool) -> None:
+    def _adjust(self, gradient: float, is_used: bool) -> None:
         """Adapts the limit. `gradient`: minimum latency divided by current latency, at most about 1; `is_used`: at
         least half of the limit is in flight."""
         raise NotImplementedError
 
 
-class Gradient(ByLatency):
+class GradientLimit(LatencyLimit):
     """Scales the limit by the ratio of minimum to current latency, and adds its square root for a short queue."""
 
-    TOLERANCE, MILD = 1.5, 0.2
+    TOLERANCE, SMOOTHING = 1.5, 0.2
 
-    def _learn(self, gradient: float, is_used: bool) -> None:
+    def _adjust(self, gradient: float, is_used: bool) -> None:
         if is_used:
             goal = self.value * max(0.5, min(1.0, self.TOLERANCE * gradient)) + self.value ** 0.5
-            self._set(self.value + (goal - self.value) * self.MILD / max(1.0, self.value))
+            self._set_value(self.value + (goal - self.value) * self.SMOOTHING / max(1.0, self.value))
 
 
-class Queue(ByLatency):
+class QueueLimit(LatencyLimit):
     """Keeps the estimated number of calls queued downstream between `MIN_QUEUED` and `MAX_QUEUED`, like TCP Vegas."""
 
-    FEW, MANY = 2.0, 5.0
+    MIN_QUEUED, MAX_QUEUED = 2.0, 5.0
 
-    def _learn(self, gradient: float, is_used: bool) -> None:
+    def _adjust(self, gradient: float, is_used: bool) -> None:
         queued, step = self.value * (1 - gradient), 1 / max(1.0, self.value)
-        if queued > self.MANY:
-            self._set(self.value - step)
-        elif queued < self.FEW and is_used:
-            self._set(self.value + step)
+        if queued > self.MAX_QUEUED:
+            self._set_value(self.value - step)
+        elif queued < self.MIN_QUEUED and is_used:
+            self._set_value(self.value + step)
 
 
-class Delivery(Bounded):
+class DeliveryLimit(BoundedLimit):
     """The best recent rate of good replies times the minimum recent latency, plus an allowance for probing.
 
     If every call of a ledger takes longer, its rate falls and its calls overlap more: the two effects cancel, and the
@@ -207,43 +207,43 @@
     returns to its former value.
     """
 
-    SPAN, BIN = 4_000_000, 250_000
-    GAIN, SPARE = 1.3, 2.0
+    RATE_SPAN, BIN_WIDTH = 4_000_000, 250_000
+    PROBE_GAIN, PROBE_ALLOWANCE = 1.3, 2.0
 
     def __init__(self, start: float, min_value: float, max_value: float, now: int = 0) -> None:
         super().__init__(start, min_value, max_value, now)
-        self.base = Least(self.SPAN)
+        self.min_latency = WindowedMinimum(self.RATE_SPAN)
         self.bins: deque[tuple[int, int]] = deque()  # number of a time bin, and its good replies
 
-    def ended(self, call: Ended) -> None:
-        if call.outcome is Outcome.CANCELLED or call.now - call.spent < self.blind_until:
+    def on_call_end(self, call: CallResult) -> None:
+        if call.outcome is Outcome.CANCELLED or call.now - call.duration < self.ignore_until:
             return
         if call.outcome is not Outcome.OK:
-            if call.bad and call.now - call.spent > self.cut_at:
-                self.cut_at = call.now
-                self._set(self.value * 0.8)
+            if call.congestion_signal and call.now - call.duration > self.decreased_at:
+                self.decreased_at = call.now
+                self._set_value(self.value * 0.8)
             return
-        min_latency = self.base.add(call.spent, call.now)
-        current = call.now // self.BIN
+        min_latency = self.min_latency.add(call.duration, call.now)
+        current = call.now // self.BIN_WIDTH
         if self.bins and self.bins[-1][0] == current:
             self.bins[-1] = current, self.bins[-1][1] + 1
         else:
             self.bins.append((current, 1))
-        while self.bins[0][0] < current - self.SPAN // self.BIN:
+        while self.bins[0][0] < current - self.RATE_SPAN // self.BIN_WIDTH:
             self.bins.popleft()
         # the current bin is not complete yet
         best = max((count for number, count in self.bins if number != current), default=0)
-        goal = best / self.BIN * min_latency * self.GAIN + self.SPARE
-        if goal > self.value and call.open < self.value / 2:
+        goal = best / self.BIN_WIDTH * min_latency * self.PROBE_GAIN + self.PROBE_ALLOWANCE
+        if goal > self.value and call.in_flight < self.value / 2:
             return  # the limit is not the bottleneck
-        self._set(self.value + (goal - self.value) * (0.05 if goal > self.value else 0.1))
+        self._set_value(self.value + (goal - self.value) * (0.05 if goal > self.value else 0.1))
 
 
-POLICIES: dict[str, type[Bounded]] = {"window": Window, "aimd": Aimd, "gradient": Gradient, "queue": Queue,
-                                      "delivery": Delivery, "fixed": Fixed}
+POLICIES: dict[str, type[BoundedLimit]] = {"window": WindowLimit, "aimd": AimdLimit, "gradient": GradientLimit, "queue": QueueLimit,
+                                      "delivery": DeliveryLimit, "fixed": FixedLimit}
 
 
-def limit_of(policy: str, start: float, min_value: float, max_value: float, now: int = 0) -> Limit:
+def make_limit(policy: str, start: float, min_value: float, max_value: float, now: int = 0) -> Limit:
     """Creates a limit by the name of its policy.
 
     Raises:
--- a/hollystage/decisions/calls/pacing.py
+++ b/hollystage/decisions/calls/pacing.py
@@ -15,18 +15,18 @@
     >>> pacer = Pacer(now=0, debt=0, over=1000)
     >>> pacer.allowed(0.25, now=0)
     1
-    >>> pacer.open = 1  # starts now and ends after 100 microseconds
+    >>> pacer.in_flight = 1  # starts now and ends after 100 microseconds
     >>> pacer.allowed(0.25, now=100), pacer.debt
     (0, 75.0)
-    >>> pacer.open = 0
+    >>> pacer.in_flight = 0
     >>> pacer.allowed(0.25, now=399), pacer.allowed(0.25, now=400)
     (0, 1)
     """
 
-    def __init__(self, now: int, debt: float, over: int) -> None:
-        self.debt, self.since = debt, now
-        self.over = over  # the mean over this span must not exceed the limit
-        self.open = 0  # calls in flight since the last update
+    def __init__(self, now: int, debt: float, averaging_span: int) -> None:
+        self.debt, self.updated_at = debt, now
+        self.averaging_span = averaging_span  # the mean over this span must not exceed the limit
+        self.in_flight = 0  # calls in flight since the last update
         self.limit = 0.0  # at the last update
 
     def allowed(self, limit: float, now: int) -> int:
@@ -35,16 +35,16 @@
         Must be called at each change of the limit or of the calls in flight; the caller sets `in_flight` after a
         change of the latter.
         """
-        whole, elapsed = int(self.limit), now - self.since
-        extra = max(0, self.open - whole)
+        whole, elapsed = int(self.limit), now - self.updated_at
+        extra = max(0, self.in_flight - whole)
         self.debt = max(0.0, self.debt + (extra - (self.limit - whole)) * elapsed)
-        self.since, self.limit = now, limit
+        self.updated_at, self.limit = now, limit
         return int(limit) + (self.debt <= 0 and limit > int(limit))
 
     @property
-    def longest(self) -> int:
+    def max_call_duration(self) -> int:
         """Longest duration of one call: the whole span if the limit is at least 1, else the limit's fraction of it.
 
         A span contains no more call time than one such call, since the pause after it fills the rest of the span.
         """
-        return int(self.over * min(1.0, self.limit))
+        return int(self.averaging_span * min(1.0, self.limit))
--- a/hollystage/decisions/calls/pools.py
+++ b/hollystage/decisions/calls/pools.py
@@ -19,81 +19,81 @@
 from dataclasses import dataclass, field, replace
 from math import ceil, exp, floor
 
-from ...interface import Pool, Pooling, Rpc, Seat
-from .further import Budget
-from .limits import Ended, Limit, limit_of
+from ...interface import Pool, PoolConfig, PoolRef, Rpc
+from .limits import CallResult, Limit, make_limit
+from .retry_budget import RetryBudget
 
-MEMORY = 1_000_000  # microseconds; time constant of the usage that fractional guarantees are compared with
-FEWER = 0.8  # a method replaces one that has the reserve only if its cost is below this share of the other's
-NOWHERE = -1
-OUT, CORES, WAITS, CALLS = range(4)  # where an RPC is, as far as slots are concerned
+USAGE_DECAY_TIME = 1_000_000  # microseconds; time constant of the usage that fractional guarantees are compared with
+COST_HYSTERESIS = 0.8  # a method replaces one that has the reserve only if its cost is below this share of the other's
+NO_POOL = -1
+NOT_STARTED, ON_CORES, AWAITING_CALL, IN_CALL = range(4)  # where an RPC is, as far as slots are concerned
 
 
 @dataclass(slots=True)
-class Use:
+class SlotUsage:
     """Usage of the slots of one kind by one pool."""
 
-    held: int = 0  # slots
-    time: float = 0.0  # slot-microseconds, exponentially decaying
-    at: int = 0
-    lent: int = 0  # starts beyond the guarantee
-    needed: int = 0  # starts within the guarantee
+    in_use: int = 0  # slots
+    slot_time: float = 0.0  # slot-microseconds, exponentially decaying
+    updated_at: int = 0
+    borrowed_starts: int = 0  # starts beyond the guarantee
+    guaranteed_starts: int = 0  # starts within the guarantee
 
 
-class Places:
+class SlotAllocator:
     """Allocates the slots of one kind, cores or calls, to the pools and to the reserve."""
 
     def __init__(self, pools: Sequence[Pool], reserve: float, now: int) -> None:
-        self.pools, self.reserve = pools, reserve
-        self.uses = [Use(at=now) for _ in pools]
-        self.apart = [number for number, pool in enumerate(pools) if not pool.lends]
+        self.pools, self.reserve_share = pools, reserve
+        self.usage = [SlotUsage(updated_at=now) for _ in pools]
+        self.non_lending = [number for number, pool in enumerate(pools) if not pool.lends]
         self.limit = 0.0
-        self.spare = Use(at=now)
+        self.reserve_usage = SlotUsage(updated_at=now)
 
     def add(self, pool: int, slots: int, now: int, reserve: bool = False) -> None:
         """Adds slots to the usage of a pool or of the reserve; a negative number frees slots."""
-        use = self.spare if reserve else self.uses[pool]
-        use.time = self._passed(use.time, use.held, use.at, now)
-        use.held, use.at = use.held + slots, now
+        use = self.reserve_usage if reserve else self.usage[pool]
+        use.slot_time = self._decayed(use.slot_time, use.in_use, use.updated_at, now)
+        use.in_use, use.updated_at = use.in_use + slots, now
 
     @staticmethod
-    def _passed(slot_time: float, in_use: float, updated_at: int, now: int) -> float:
-        decay = exp((updated_at - now) / MEMORY) if now > updated_at else 1.0
-        return slot_time * decay + in_use * MEMORY * (1 - decay)
+    def _decayed(slot_time: float, in_use: float, updated_at: int, now: int) -> float:
+        decay = exp((updated_at - now) / USAGE_DECAY_TIME) if now > updated_at else 1.0
+        return slot_time * decay + in_use * USAGE_DECAY_TIME * (1 - decay)
 
-    def had(self, pool: int, limit: float, now: int) -> float:
+    def guarantee_used(self, pool: int, limit: float, now: int) -> float:
         """Returns the recent usage of a pool as a multiple of its guarantee."""
-        use = self.uses[pool]
-        return self._passed(use.time, use.held, use.at, now) / max(
-            1e-9, self.pools[pool].guaranteed * limit * MEMORY)
+        use = self.usage[pool]
+        return self._decayed(use.slot_time, use.in_use, use.updated_at, now) / max(
+            1e-9, self.pools[pool].guaranteed * limit * USAGE_DECAY_TIME)
 
-    def needs(self, pool: int, limit: float, now: int) -> bool:
+    def below_guarantee(self, pool: int, limit: float, now: int) -> bool:
         """Returns whether one more slot is within the pool's guarantee; a fraction of a slot counts in the mean."""
-        guarantee, in_use = self.pools[pool].guaranteed * limit, self.uses[pool].held
-        return in_use + 1 <= guarantee or in_use < guarantee and self.had(pool, limit, now) < 1
+        guarantee, in_use = self.pools[pool].guaranteed * limit, self.usage[pool].in_use
+        return in_use + 1 <= guarantee or in_use < guarantee and self.guarantee_used(pool, limit, now) < 1
 
-    def kept(self, limit: float) -> int:
+    def reserved_slots(self, limit: float) -> int:
         """Number of whole slots that only the reserve may use."""
-        return floor(self.reserve * limit + 1e-9)
+        return floor(self.reserve_share * limit + 1e-9)
 
     @property
-    def reserved(self) -> int:
+    def reserve_in_use(self) -> int:
         """Number of slots that the reserve uses."""
-        return self.spare.held
+        return self.reserve_usage.in_use
 
-    def spare_open(self, limit: float, now: int) -> bool:
+    def reserve_available(self, limit: float, now: int) -> bool:
         """Returns whether the reserve has a free slot.
 
         A fraction of a slot is available in the mean only: a whole slot beyond the limit, always used under load,
         would slow all other work (measured: 2% less served).
         """
-        slots = self.reserve * limit
-        if self.spare.held + 1 <= slots:
+        slots = self.reserve_share * limit
+        if self.reserve_usage.in_use + 1 <= slots:
             return True
-        slot_time = self._passed(self.spare.time, self.spare.held, self.spare.at, now)
-        return self.spare.held + 1 <= ceil(slots - 1e-9) and slot_time < slots * MEMORY
+        slot_time = self._decayed(self.reserve_usage.slot_time, self.reserve_usage.in_use, self.reserve_usage.updated_at, now)
+        return self.reserve_usage.in_use + 1 <= ceil(slots - 1e-9) and slot_time < slots * USAGE_DECAY_TIME
 
-    def choose(self, limit: float, heads: Sequence[int | None], taken: int, now: int) -> int:
+    def choose(self, limit: float, head_tags: Sequence[int | None], in_use: int, now: int) -> int:
         """Returns the queue whose first RPC may start: the number of a pool, the number of pools for the reserve's
         queue, or NO_POOL.
 
@@ -101,58 +101,58 @@
         `in_use`: all used slots, including those of RPCs without a pool, which started before pools were configured.
         """
         count, self.limit = len(self.pools), limit
-        free = limit - self.kept(limit) - (taken - self.reserved)
-        if free >= 1 or not taken and not self.kept(limit):
-            chosen = self._least(heads, lambda pool: self.uses[pool].held + 1 <= self.pools[pool].guaranteed * limit)
-            if chosen == NOWHERE:
-                chosen = self._furthest_behind(heads, limit, now)
-            if chosen != NOWHERE:
-                self.uses[chosen].needed += 1
+        free = limit - self.reserved_slots(limit) - (in_use - self.reserve_in_use)
+        if free >= 1 or not in_use and not self.reserved_slots(limit):
+            chosen = self._smallest_tag(head_tags, lambda pool: self.usage[pool].in_use + 1 <= self.pools[pool].guaranteed * limit)
+            if chosen == NO_POOL:
+                chosen = self._most_underserved(head_tags, limit, now)
+            if chosen != NO_POOL:
+                self.usage[chosen].guaranteed_starts += 1
                 return chosen
-            borrower = self._least(heads, lambda pool: self._may_borrow(pool, limit, free))
-            if borrower != NOWHERE:
-                self.uses[borrower].lent += 1
+            borrower = self._smallest_tag(head_tags, lambda pool: self._may_borrow(pool, limit, free))
+            if borrower != NO_POOL:
+                self.usage[borrower].borrowed_starts += 1
                 return borrower
-        if heads[count] is not None and self.spare_open(limit, now):
+        if head_tags[count] is not None and self.reserve_available(limit, now):
             return count
-        return NOWHERE
+        return NO_POOL
 
-    def _furthest_behind(self, head_tags: Sequence[int | None], limit: float, now: int) -> int:
+    def _most_underserved(self, head_tags: Sequence[int | None], limit: float, now: int) -> int:
         """Returns the pool that used the smallest part of its guarantee, of those with a fraction of a slot left.
 
         If tags decided here, the first few of many small pools would each overdraw a little and the last pools would
         get nothing.
         """
-        candidates = [(self.had(pool, limit, now), tag, pool) for pool, (spec, tag) in enumerate(
+        candidates = [(self.guarantee_used(pool, limit, now), tag, pool) for pool, (spec, tag) in enumerate(
             zip(self.pools, head_tags, strict=False))
-            if tag is not None and self.uses[pool].held < spec.guaranteed * limit]
-        lowest = min(candidates, default=(1.0, 0, NOWHERE))
-        return lowest[2] if lowest[0] < 1 else NOWHERE
+            if tag is not None and self.usage[pool].in_use < spec.guaranteed * limit]
+        lowest = min(candidates, default=(1.0, 0, NO_POOL))
+        return lowest[2] if lowest[0] < 1 else NO_POOL
 
-    def _least(self, head_tags: Sequence[int | None], is_eligible: Callable[[int], bool]) -> int:
-        best, best_tag = NOWHERE, 0
+    def _smallest_tag(self, head_tags: Sequence[int | None], is_eligible: Callable[[int], bool]) -> int:
+        best, best_tag = NO_POOL, 0
         for pool in range(len(self.pools)):
             tag = head_tags[pool]
-            if tag is not None and (best == NOWHERE or tag < best_tag) and is_eligible(pool):
+            if tag is not None and (best == NO_POOL or tag < best_tag) and is_eligible(pool):
                 best, best_tag = pool, tag
         return best
 
     def _may_borrow(self, pool: int, limit: float, free: float) -> bool:
-        if self.uses[pool].held + 1 > max(1.0, self.pools[pool].ceiling * limit):
+        if self.usage[pool].in_use + 1 > max(1.0, self.pools[pool].ceiling * limit):
             return False
-        unlent = sum(max(0, floor(self.pools[other].guaranteed * limit) - self.uses[other].held)
-                     for other in self.apart if other != pool)
+        unlent = sum(max(0, floor(self.pools[other].guaranteed * limit) - self.usage[other].in_use)
+                     for other in self.non_lending if other != pool)
         return free - unlent >= 1
 
 
 @dataclass(slots=True)
-class Cheapest:
+class CheapestMethods:
     """The methods that may use the reserve: the cheapest ones, as many as the reserve can serve."""
 
     methods: frozenset[int] = frozenset()
     costs: dict[int, float] = field(default_factory=dict)
 
-    def learn(self, rows: Sequence[tuple[int, float, float]], room: float) -> None:
+    def update(self, rows: Sequence[tuple[int, float, float]], capacity: float) -> None:
         """Selects the methods; at least one, as long as any method is requested.
 
         `rows`: method, RPCs per second, and cost of an RPC on the cores and downstream, in microseconds. `capacity`:
@@ -160,9 +160,9 @@
         """
         self.costs = {method: cost for method, _, cost in rows}
         # costs are noisy: a method keeps the reserve until another one is clearly cheaper
-        ranked = sorted(rows, key=lambda row: row[2] * (FEWER if row[0] in self.methods else 1.0))
+        ranked = sorted(rows, key=lambda row: row[2] * (COST_HYSTERESIS if row[0] in self.methods else 1.0))
         chosen: list[int] = []
-        remaining = room
+        remaining = capacity
         for method, rate, cost in ranked:
             load = rate * cost / 1e6
             if chosen and load > remaining:
@@ -184,48 +184,48 @@
     All times are in microseconds.
     """
 
-    def __init__(self, plan: Pooling, calls: float, now: int, before: Pools | None = None) -> None:
-        self.plan = plan
-        self.cores = Places(plan.pools, plan.reserve.running, now)
-        self.calls = Places(plan.pools, plan.reserve.calls, now)
-        self.budgets = [Budget(pool.retries, pool.floor, now=now) for pool in plan.pools]
-        self.cheapest = Cheapest()
-        self.limits: list[Limit | None] = [limit_of(pool.limit, max(1.0, calls / 2), 1.0, max(1.0, calls))
-                                           if pool.limit else None for pool in plan.pools]
-        self.seats = [Seat(number) for number in range(len(plan.pools))]
-        self.begun = [0] * len(plan.pools)  # on the cores, waiting for a call or in one
-        self.crowd = 1e9  # upper bound on their sum; the decision module updates it at each tick
-        if before is not None:
-            self._take_over(before, now)
-
-    def _take_over(self, before: Pools, now: int) -> None:
+    def __init__(self, pooling: PoolConfig, calls: float, now: int, previous: Pools | None = None) -> None:
+        self.pooling = pooling
+        self.cores = SlotAllocator(pooling.pools, pooling.reserve.running, now)
+        self.calls = SlotAllocator(pooling.pools, pooling.reserve.calls, now)
+        self.retry_budgets = [RetryBudget(pool.retry_ratio, pool.min_retries_per_s, now=now) for pool in pooling.pools]
+        self.cheapest = CheapestMethods()
+        self.limits: list[Limit | None] = [make_limit(pool.limit_policy, max(1.0, calls / 2), 1.0, max(1.0, calls))
+                                           if pool.limit_policy else None for pool in pooling.pools]
+        self.pool_refs = [PoolRef(number) for number in range(len(pooling.pools))]
+        self.in_progress = [0] * len(pooling.pools)  # on the cores, waiting for a call or in one
+        self.max_in_progress = 1e9  # upper bound on their sum; the decision module updates it at each tick
+        if previous is not None:
+            self._take_over(previous, now)
+
+    def _take_over(self, previous: Pools, now: int) -> None:
         """Transfers the state of each earlier pool to the pool of the same name, else to its heir, else to the last
         pool. A pool that became smaller drains by itself, since it starts nothing beyond its ceiling."""
-        names = [pool.name for pool in self.plan.pools]
-        for old, pool_ref in enumerate(before.seats):
-            new = before.heir(before.plan.pools[old].name, names)
-            pool_ref.heir = self.seats[new]
-            self.cores.add(new, before.cores.uses[old].held, now)
-            self.calls.add(new, before.calls.uses[old].held, now)
-            self.begun[new] += before.begun[old]
-            if names[new] == before.plan.pools[old].name:
-                self.budgets[new].earned = before.budgets[old].earned
-                new_limit, old_limit = self.limits[new], before.limits[old]
+        names = [pool.name for pool in self.pooling.pools]
+        for old, pool_ref in enumerate(previous.pool_refs):
+            new = previous.heir(previous.pooling.pools[old].name, names)
+            pool_ref.successor = self.pool_refs[new]
+            self.cores.add(new, previous.cores.usage[old].in_use, now)
+            self.calls.add(new, previous.calls.usage[old].in_use, now)
+            self.in_progress[new] += previous.in_progress[old]
+            if names[new] == previous.pooling.pools[old].name:
+                self.retry_budgets[new].balance = previous.retry_budgets[old].balance
+                new_limit, old_limit = self.limits[new], previous.limits[old]
                 if new_limit is not None and old_limit is not None:
                     new_limit.value = old_limit.value
-                    new_limit.bound(1.0, max(1.0, new_limit.value * 2))
-        self.cores.spare, self.calls.spare = before.cores.spare, before.calls.spare
-        self.cheapest, self.crowd = before.cheapest, before.crowd
+                    new_limit.set_bounds(1.0, max(1.0, new_limit.value * 2))
+        self.cores.reserve_usage, self.calls.reserve_usage = previous.cores.reserve_usage, previous.calls.reserve_usage
+        self.cheapest, self.max_in_progress = previous.cheapest, previous.max_in_progress
 
     def heir(self, name: str, known: Sequence[str]) -> int:
         """Returns the index in `known` of the pool that takes over from `name`: the pool itself, its heir, the heir's
         heir and so on; else the last one.
 
-        >>> old = Pools(Pooling((Pool("a", .5, heir="b"), Pool("b", .2, heir="c"))), 1.0, 0)
+        >>> old = Pools(PoolConfig((Pool("a", .5, heir="b"), Pool("b", .2, heir="c"))), 1.0, 0)
         >>> old.heir("a", ["c", "d"]), old.heir("a", ["b", "a"]), old.heir("b", ["x", "y"])
         (0, 1, 1)
         """
-        heirs = {pool.name: pool.heir for pool in self.plan.pools}
+        heirs = {pool.name: pool.heir for pool in self.pooling.pools}
         seen: set[str] = set()
         while name and name not in seen:
             if name in known:
@@ -236,166 +236,166 @@
 
     def close(self) -> None:
         """Detaches all RPCs from the pools, when pools are no longer configured."""
-        for pool_ref in self.seats:
-            pool_ref.number = NOWHERE
+        for pool_ref in self.pool_refs:
+            pool_ref.number = NO_POOL
 
     @property
     def count(self) -> int:
         """Number of pools."""
-        return len(self.plan.pools)
+        return len(self.pooling.pools)
 
-    def called(self, rpc: Rpc, end: Ended) -> None:
+    def on_call_end(self, rpc: Rpc, result: CallResult) -> None:
         """Reports the result of a call to the limit of the RPC's pool, if the pool has one."""
-        number = rpc.seat.find() if rpc.seat is not None else NOWHERE
-        pool_limit = self.limits[number] if number != NOWHERE else None
+        number = rpc.pool_ref.find() if rpc.pool_ref is not None else NO_POOL
+        pool_limit = self.limits[number] if number != NO_POOL else None
         if pool_limit is not None:
-            pool_limit.ended(replace(end, open=self.calls.uses[number].held))
+            pool_limit.on_call_end(replace(result, in_flight=self.calls.usage[number].in_use))
 
-    def learn(self, rows: Sequence[tuple[int, float, float]], limit: float) -> None:
+    def update_cheapest(self, rows: Sequence[tuple[int, float, float]], limit: float) -> None:
         """Selects the methods that may use the reserve; for `rows` see `CheapestMethods.update`."""
-        self.cheapest.learn([row for row in rows if row[1] > 0.01], self.plan.reserve.running * limit)
+        self.cheapest.update([row for row in rows if row[1] > 0.01], self.pooling.reserve.running * limit)
 
-    def seat(self, method: int) -> Seat:
+    def pool_ref(self, method: int) -> PoolRef:
         """Returns a reference to the pool of a method; methods without a pool belong to the last one."""
-        return self.seats[self.plan.of[method] if method < len(self.plan.of) else -1]
+        return self.pool_refs[self.pooling.pool_of_method[method] if method < len(self.pooling.pool_of_method) else -1]
 
     def is_cheap(self, method: int) -> bool:
         """Returns whether the method may use the reserve."""
-        return self.plan.reserve.running > 0 and method in self.cheapest.methods
+        return self.pooling.reserve.running > 0 and method in self.cheapest.methods
 
-    def choked(self, rpc: Rpc) -> bool:
+    def calls_starve_runs(self, rpc: Rpc) -> bool:
         """Returns whether RPCs that wait for calls or are in calls occupy the slots that the pool needs for running.
 
         An RPC that can continue without its call should then do so: a pool with all its slots in calls runs nothing.
         """
-        number = rpc.seat.find() if rpc.seat is not None else NOWHERE
-        if number == NOWHERE:
+        number = rpc.pool_ref.find() if rpc.pool_ref is not None else NO_POOL
+        if number == NO_POOL:
             return False
-        off_cores = self.begun[number] - self.cores.uses[number].held
-        others = sum(spec.guaranteed for other, spec in enumerate(self.plan.pools) if other != number)
+        off_cores = self.in_progress[number] - self.cores.usage[number].in_use
+        others = sum(spec.guaranteed for other, spec in enumerate(self.pooling.pools) if other != number)
         run_slots = max(1.0, (1 - others) * self.cores.limit)  # while the other pools use their guarantees
-        return off_cores + 1 + run_slots > self._room(number, self.crowd, self._apart())
+        return off_cores + 1 + run_slots > self._capacity_for(number, self.max_in_progress, self._total_demand())
 
-    def start(self, limit: float, head_tags: Sequence[int | None], in_use: int, now: int) -> int:
+    def next_to_start(self, limit: float, head_tags: Sequence[int | None], in_use: int, now: int) -> int:
         """Returns the queue whose first RPC may run; the arguments and the result are those of
         `SlotAllocator.choose`."""
-        total = sum(self.begun)
-        if total + 1 > self.crowd or all(tag is None for tag in head_tags):
-            return NOWHERE
-        demand = self._apart()  # computed once, since there may be many pools
-        allowed = [tag if tag is not None and self.begun[pool] + 1 <= self._room(pool, self.crowd, demand) else None
+        total = sum(self.in_progress)
+        if total + 1 > self.max_in_progress or all(tag is None for tag in head_tags):
+            return NO_POOL
+        demand = self._total_demand()  # computed once, since there may be many pools
+        allowed = [tag if tag is not None and self.in_progress[pool] + 1 <= self._capacity_for(pool, self.max_in_progress, demand) else None
                    for pool, tag in enumerate(head_tags[:-1])]
         return self.cores.choose(limit, [*allowed, head_tags[-1]], in_use, now)
 
-    def call(self, limit: float, head_tags: Sequence[int | None], in_use: int, now: int) -> int:
+    def next_to_call(self, limit: float, head_tags: Sequence[int | None], in_use: int, now: int) -> int:
         """Returns the queue whose first RPC may call; the arguments and the result are those of
         `SlotAllocator.choose`. A pool at its own limit is skipped and does not block the other pools."""
         if all(tag is None for tag in head_tags):
-            return NOWHERE
-        allowed = [None if pool_limit is not None and self.calls.uses[pool].held + 1 > max(1.0, pool_limit.value)
+            return NO_POOL
+        allowed = [None if pool_limit is not None and self.calls.usage[pool].in_use + 1 > max(1.0, pool_limit.value)
                    else tag for pool, (pool_limit, tag) in enumerate(zip(self.limits, head_tags, strict=False))]
         return self.calls.choose(limit, [*allowed, head_tags[-1]], in_use, now)
 
-    def moved(self, rpc: Rpc, before: int, after: int, now: int) -> None:
+    def on_move(self, rpc: Rpc, before: int, after: int, now: int) -> None:
         """Accounts for an RPC that moves between NOT_STARTED, ON_CORES, AWAITING_CALL and IN_CALL.
 
         A slot of the reserve returns to the reserve: an RPC that started on a slot of the reserve counts there until
         it leaves the slot.
         """
-        number = rpc.seat.find() if rpc.seat is not None else NOWHERE
-        if number == NOWHERE or before == after:
+        number = rpc.pool_ref.find() if rpc.pool_ref is not None else NO_POOL
+        if number == NO_POOL or before == after:
             return
-        for slots, kind in ((self.cores, CORES), (self.calls, CALLS)):
+        for slots, kind in ((self.cores, ON_CORES), (self.calls, IN_CALL)):
             if before == kind:
-                slots.add(number, -1, now, rpc.spare)
-                rpc.spare = False
-        if before == OUT:
-            self.begun[number] += 1
-        elif after == OUT:
-            self.begun[number] -= 1
-        for slots, kind in ((self.cores, CORES), (self.calls, CALLS)):
+                slots.add(number, -1, now, rpc.uses_reserve)
+                rpc.uses_reserve = False
+        if before == NOT_STARTED:
+            self.in_progress[number] += 1
+        elif after == NOT_STARTED:
+            self.in_progress[number] -= 1
+        for slots, kind in ((self.cores, ON_CORES), (self.calls, IN_CALL)):
             if after == kind:
-                slots.add(number, 1, now, rpc.spare)
+                slots.add(number, 1, now, rpc.uses_reserve)
 
-    def crowd_open(self, number: int, crowd: float, begun: int) -> bool:
+    def has_room(self, number: int, max_in_progress: float, in_progress: int) -> bool:
         """Returns whether one more RPC of this pool may be in progress: on the cores, waiting for a call or in one.
 
         Of the RPCs in progress each pool keeps as many as its guarantee on the cores. These are not lent, since an
         RPC that waits for a slow ledger stays in progress for as long as the call takes. Without this rule a ledger
         that becomes slow fills all of `max_in_progress` with calls, and methods without calls cannot even start.
         """
-        return begun + 1 <= crowd and self.begun[number] + 1 <= self._room(number, crowd, self._apart())
+        return in_progress + 1 <= max_in_progress and self.in_progress[number] + 1 <= self._capacity_for(number, max_in_progress, self._total_demand())
 
-    def _asks(self, number: int) -> float:
+    def _demand(self, number: int) -> float:
         """Number of RPCs that a pool has in progress, plus those that its guarantee still allows it to run."""
-        running = self.cores.uses[number].held
-        return self.begun[number] - running + max(
-            float(running), self.plan.pools[number].guaranteed * self.cores.limit)
+        running = self.cores.usage[number].in_use
+        return self.in_progress[number] - running + max(
+            float(running), self.pooling.pools[number].guaranteed * self.cores.limit)
 
-    def _apart(self) -> float:
-        return sum(self._asks(number) for number in range(self.count))
+    def _total_demand(self) -> float:
+        return sum(self._demand(number) for number in range(self.count))
 
-    def _room(self, number: int, crowd: float, apart: float) -> float:
+    def _capacity_for(self, number: int, max_in_progress: float, total_demand: float) -> float:
         """Returns how many RPCs one pool may have in progress if each other pool gets its demand."""
-        return max(1.0, crowd - (apart - self._asks(number)))
+        return max(1.0, max_in_progress - (total_demand - self._demand(number)))
 
-    def again(self, rpc: Rpc, now: int) -> bool:
+    def may_call(self, rpc: Rpc, now: int) -> bool:
         """Returns whether a call may be made now: the first one always, another one if the pool's retry budget
         allows it."""
-        number = rpc.seat.find() if rpc.seat is not None else NOWHERE
-        if number == NOWHERE:
+        number = rpc.pool_ref.find() if rpc.pool_ref is not None else NO_POOL
+        if number == NO_POOL:
             return True
-        if rpc.called:
-            return self.budgets[number].take(now)
-        self.budgets[number].first(now)
+        if rpc.calls_made:
+            return self.retry_budgets[number].try_spend(now)
+        self.retry_budgets[number].record_first_attempt(now)
         return True
 
-    def entitled(self, rpc: Rpc, limit: float, now: int) -> bool:
+    def below_guarantee(self, rpc: Rpc, limit: float, now: int) -> bool:
         """Returns whether the RPC's pool is below its guarantee. Only RPCs of pools that borrow are rejected by their
         latency class."""
-        number = rpc.seat.find() if rpc.seat is not None else NOWHERE
-        return number != NOWHERE and self.cores.needs(number, limit, now)
+        number = rpc.pool_ref.find() if rpc.pool_ref is not None else NO_POOL
+        return number != NO_POOL and self.cores.below_guarantee(number, limit, now)
 
-    def wait(self, rpc: Rpc, own: float, all_lines: float, limit: float) -> float:
+    def estimated_wait(self, rpc: Rpc, pool_work: float, total_work: float, limit: float) -> float:
         """Returns how long the RPC will be queued, in microseconds.
 
         It waits for the work queued in its pool, done on the guaranteed slots, or for all queued work with smaller
         tags, done on all slots, whichever is shorter. `pool_work`, `total_work`: that work, in microseconds.
         """
-        number = rpc.seat.find() if rpc.seat is not None else NOWHERE
-        if number == NOWHERE:
-            return all_lines / limit
-        guaranteed = self.plan.pools[number].guaranteed * limit
-        return min(all_lines / limit, own / guaranteed) if guaranteed else all_lines / limit
+        number = rpc.pool_ref.find() if rpc.pool_ref is not None else NO_POOL
+        if number == NO_POOL:
+            return total_work / limit
+        guaranteed = self.pooling.pools[number].guaranteed * limit
+        return min(total_work / limit, pool_work / guaranteed) if guaranteed else total_work / limit
 
-    def welcome(self, rpc: Rpc, method: int, limit: float, in_use: int, head_tags: Sequence[int | None],
+    def has_own_slot(self, rpc: Rpc, method: int, limit: float, in_use: int, head_tags: Sequence[int | None],
                 now: int) -> bool:
         """Returns whether a slot is free for this RPC regardless of other pools: of its own pool, or of the
         reserve."""
-        number = rpc.seat.find() if rpc.seat is not None else NOWHERE
-        if number == NOWHERE:
+        number = rpc.pool_ref.find() if rpc.pool_ref is not None else NO_POOL
+        if number == NO_POOL:
             return False
-        if not self.crowd_open(number, self.crowd, sum(self.begun)):
+        if not self.has_room(number, self.max_in_progress, sum(self.in_progress)):
             return False
-        if head_tags[number] is None and self.cores.needs(number, limit, now) and in_use + 1 <= limit:
+        if head_tags[number] is None and self.cores.below_guarantee(number, limit, now) and in_use + 1 <= limit:
             return True
-        return self.is_cheap(method) and head_tags[-1] is None and self.cores.spare_open(limit, now)
+        return self.is_cheap(method) and head_tags[-1] is None and self.cores.reserve_available(limit, now)
 
-    def memory(self, method: int) -> float:
+    def reserved_memory(self, method: int) -> float:
         """Returns the share of the memory that this method may not use."""
-        return 0.0 if self.is_cheap(method) else self.plan.reserve.memory
+        return 0.0 if self.is_cheap(method) else self.pooling.reserve.memory
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """Returns gauges and counters of each pool and of the reserve."""
         values: dict[str, float] = {}
-        for number, pool in enumerate(self.plan.pools):
-            cores, calls, pool_limit = self.cores.uses[number], self.calls.uses[number], self.limits[number]
-            values |= {f"pool.{pool.name}.running": cores.held, f"pool.{pool.name}.calling": calls.held,
-                       f"pool.{pool.name}.started_in_need": cores.needed, f"pool.{pool.name}.borrowed": cores.lent,
-                       f"pool.{pool.name}.retries_refused": self.budgets[number].refused}
+        for number, pool in enumerate(self.pooling.pools):
+            cores, calls, pool_limit = self.cores.usage[number], self.calls.usage[number], self.limits[number]
+            values |= {f"pool.{pool.name}.running": cores.in_use, f"pool.{pool.name}.calling": calls.in_use,
+                       f"pool.{pool.name}.started_in_need": cores.guaranteed_starts, f"pool.{pool.name}.borrowed": cores.borrowed_starts,
+                       f"pool.{pool.name}.retries_refused": self.retry_budgets[number].refused}
             if pool_limit is not None:
                 values[f"pool.{pool.name}.limit"] = round(pool_limit.value, 2)
-        return values | {"reserve.running": self.cores.reserved, "reserve.calling": self.calls.reserved}
+        return values | {"reserve.running": self.cores.reserve_in_use, "reserve.calling": self.calls.reserve_in_use}
 
 
-__all__ = ["CALLS", "CORES", "NOWHERE", "OUT", "WAITS", "Cheapest", "Places", "Pools"]
+__all__ = ["IN_CALL", "ON_CORES", "NO_POOL", "NOT_STARTED", "AWAITING_CALL", "CheapestMethods", "SlotAllocator", "Pools"]
--- a/hollystage/decisions/comeback/recovery.py
+++ b/hollystage/decisions/comeback/recovery.py
@@ -14,15 +14,15 @@
 
 import msgspec
 
-from ...interface import Kind as MethodKind
 from ...interface import Method, Settings
+from ...interface import MethodKind as MethodKind
 from ..membership.records import Belief, Record, Stage, View
 
-MOST_RUNS = 10.0  # bounds the weight of a stored cost, so that new measurements soon outweigh it
-LONGEST_US = 3.6e9  # one hour; no cost or call takes longer
-NOTHING = 0.02  # a smaller weight counts as 0
-MOST_MET = 8_192
-FUTURE_S = 5.0  # a snapshot that is further ahead of the clock has an unknown age
+MAX_STORED_RUNS = 10.0  # bounds the weight of a stored cost, so that new measurements soon outweigh it
+MAX_DURATION_US = 3.6e9  # one hour; no cost or call takes longer
+MIN_WEIGHT = 0.02  # a smaller weight counts as 0
+MAX_REMEMBERED_KEYS = 8_192
+MAX_CLOCK_SKEW_S = 5.0  # a snapshot that is further ahead of the clock has an unknown age
 
 
 class Aging(NamedTuple):
@@ -32,10 +32,10 @@
     """
 
     half_life: float
-    instead: str
+    fallback: str
 
 
-KINDS: dict[str, Aging] = {
+BELIEF_KINDS: dict[str, Aging] = {
     "costs": Aging(600, "a generous default, then own measurements; not used on another kind of machine"),
     "times off the cores": Aging(600, "zero until calls are made"),
     "pace of hints": Aging(600, "one"),
@@ -51,7 +51,7 @@
     "zones left": Aging(0, "the latest generation that peers know"),
     "drains begun": Aging(0, "none"),
 }
-FOREVER = ("boot", "generations")  # numbers that never decrease: the greatest known one is valid at any age
+MONOTONIC = ("boot", "generations")  # numbers that never decrease: the greatest known one is valid at any age
 
 
 def weight(kind: str, age_s: float | None) -> float:
@@ -60,32 +60,32 @@
     >>> [weight("costs", age_s) for age_s in (0, 600, 1e6, None)], weight("leases held", 1)
     ([1.0, 0.5, 0.0, 0.0], 0.0)
     """
-    half_life = KINDS[kind].half_life
+    half_life = BELIEF_KINDS[kind].half_life
     if age_s is None or half_life <= 0:
         return 0.0
     remaining = float(0.5 ** (max(0.0, age_s) / half_life))
-    return remaining if remaining >= NOTHING else 0.0
+    return remaining if remaining >= MIN_WEIGHT else 0.0
 
 
 def age(written_ms: int, now_ms: int) -> float | None:
     """Returns the age of a snapshot in seconds; None if its time is more than `MAX_CLOCK_SKEW_S` in the future."""
-    if written_ms > now_ms + FUTURE_S * 1000:
+    if written_ms > now_ms + MAX_CLOCK_SKEW_S * 1000:
         return None
     return max(0.0, (now_ms - written_ms) / 1000)
 
 
-class Means(msgspec.Struct, frozen=True, array_like=True):
+class MethodStats(msgspec.Struct, frozen=True, array_like=True):
     """Learned statistics of one method: means in microseconds and the weights of their samples."""
 
     cost: float = 0.0
     runs: float = 0.0
-    off: float = 0.0
-    ended: float = 0.0
-    ends: float = 0.0
+    off_core_time: float = 0.0
+    reject_age: float = 0.0
+    reject_count: float = 0.0
     patiences: tuple[float, ...] = ()  # histogram of the timeouts of callers
 
 
-class Learned(msgspec.Struct, frozen=True, array_like=True):
+class LearnedState(msgspec.Struct, frozen=True, array_like=True):
     """Learned state of one instance.
 
     `machine` is the fingerprint of the kind of machine, `limit` the limit on calls relative to the instance's share
@@ -98,52 +98,52 @@
     usual_call: float = 0.0
     pace: float = 0.0
     hints: float = 0.0
-    methods: dict[str, Means] = {}
+    methods: dict[str, MethodStats] = {}
 
 
-class Learner(Protocol):
+class LearningControl(Protocol):
     """The part of the decision module that holds learned state: decaying sums and the limit on calls."""
 
     usual_call: float
 
     @property
-    def set(self) -> Settings: ...
+    def settings(self) -> Settings: ...
     @property
-    def runs(self) -> Mapping[Method, Any]: ...
+    def run_times(self) -> Mapping[Method, Any]: ...
     @property
-    def offs(self) -> Mapping[Method, Any]: ...
+    def off_core_times(self) -> Mapping[Method, Any]: ...
     @property
-    def ends(self) -> Mapping[Method, Any]: ...
+    def reject_ages(self) -> Mapping[Method, Any]: ...
     @property
-    def firsts(self) -> Mapping[Method, list[float]]: ...
+    def timeout_histograms(self) -> Mapping[Method, list[float]]: ...
     @property
     def pace(self) -> Any: ...
     @property
-    def below(self) -> Any: ...
+    def call_limit(self) -> Any: ...
 
 
-def machine_mark(settings: Settings) -> int:
+def machine_fingerprint(settings: Settings) -> int:
     """Returns a 32-bit checksum of the settings on which the cost of an RPC depends."""
     from zlib import crc32
-    return crc32(f"{settings.cores} {settings.memory:.0f} {settings.run_factor} {settings.by_work}".encode())
+    return crc32(f"{settings.cores} {settings.memory:.0f} {settings.run_factor} {settings.criticality_per_work}".encode())
 
 
-def harvest(control: Learner, names: list[str], now: int) -> Learned:
+def export_learned(control: LearningControl, names: list[str], now: int) -> LearnedState:
     """Copies the learned state out of a decision module. Must be cheap: it runs under the driver's lock."""
     def mean(sums: Any) -> tuple[float, float]:
         total = sums.read(now)
         return (total / sums.count, sums.count) if sums.count > 0.01 else (0.0, 0.0)
-    methods, tables = {}, (control.runs, control.offs, control.ends)
-    for name, method in zip(names, control.set.methods, strict=True):
+    methods, tables = {}, (control.run_times, control.off_core_times, control.reject_ages)
+    for name, method in zip(names, control.settings.methods, strict=True):
         (cost, runs), (off_core_time, _), (reject_age, reject_count) = (mean(table[method]) for table in tables)
-        methods[name] = Means(cost, runs, off_core_time, reject_age, reject_count,
-                              tuple(round(part, 2) for part in control.firsts[method]))
+        methods[name] = MethodStats(cost, runs, off_core_time, reject_age, reject_count,
+                              tuple(round(part, 2) for part in control.timeout_histograms[method]))
     pace, hints = mean(control.pace)
-    share = max(0.01, control.set.calls_out)
-    return Learned(machine_mark(control.set), control.below.value / share, control.usual_call, pace, hints, methods)
+    share = max(0.01, control.settings.calls_out)
+    return LearnedState(machine_fingerprint(control.settings), control.call_limit.value / share, control.usual_call, pace, hints, methods)
 
 
-def sow(control: Learner, names: list[str], learned: Learned, age_s: float | None, now: int) -> dict[str, float]:
+def restore_learned(control: LearningControl, names: list[str], learned: LearnedState, age_s: float | None, now: int) -> dict[str, float]:
     """Restores learned state in a new decision module as far as its age and the kind of machine allow.
 
     Values that are not finite or out of range are ignored. Returns the weights of the kinds that were restored.
@@ -152,25 +152,25 @@
 
     def usable_weight(kind: str, *values: float) -> float:
         share = weight(kind, age_s)
-        is_valid = all(isfinite(value) and 0 < value < LONGEST_US for value in values)
+        is_valid = all(isfinite(value) and 0 < value < MAX_DURATION_US for value in values)
         if share and is_valid:
             used[kind] = share
             return share
         return 0.0
-    same_machine = learned.machine == machine_mark(control.set)
-    for name, method in zip(names, control.set.methods, strict=True):
+    same_machine = learned.machine == machine_fingerprint(control.settings)
+    for name, method in zip(names, control.settings.methods, strict=True):
         stats = learned.methods.get(name)
         if stats is None:
             continue
         if same_machine and stats.runs > 0 and (share := usable_weight("costs", stats.cost, stats.runs)):
-            samples = min(MOST_RUNS, stats.runs) * share
-            control.runs[method].add(stats.cost * samples, now, samples)
-            if stats.off and (share := usable_weight("times off the cores", stats.off)):
-                control.offs[method].add(stats.off * samples, now, samples)
-        if stats.ends and (share := usable_weight("ages of first tries elsewhere", stats.ended, stats.ends)):
-            samples = min(MOST_RUNS, stats.ends) * share
-            control.ends[method].add(stats.ended * samples, now, samples)
-        histogram = control.firsts[method]
+            samples = min(MAX_STORED_RUNS, stats.runs) * share
+            control.run_times[method].add(stats.cost * samples, now, samples)
+            if stats.off_core_time and (share := usable_weight("times off the cores", stats.off_core_time)):
+                control.off_core_times[method].add(stats.off_core_time * samples, now, samples)
+        if stats.reject_count and (share := usable_weight("ages of first tries elsewhere", stats.reject_age, stats.reject_count)):
+            samples = min(MAX_STORED_RUNS, stats.reject_count) * share
+            control.reject_ages[method].add(stats.reject_age * samples, now, samples)
+        histogram = control.timeout_histograms[method]
         if len(stats.patiences) == len(histogram) and all(isfinite(p) and 0 <= p < 1e6 for p in stats.patiences) \
                 and (share := usable_weight("patiences")):
             histogram[:] = [old + share * part for old, part in zip(histogram, stats.patiences, strict=True)]
@@ -179,24 +179,24 @@
     if not control.usual_call and usable_weight("usual call", learned.usual_call) > 0.25:
         control.usual_call = learned.usual_call
     if share := usable_weight("limit on calls", learned.limit):
-        limit, max_value, min_value = control.below, control.below.most, control.below.least
+        limit, max_value, min_value = control.call_limit, control.call_limit.max_value, control.call_limit.min_value
         initial = limit.value
-        start = share * learned.limit * max(0.01, control.set.calls_out) + (1 - share) * initial
+        start = share * learned.limit * max(0.01, control.settings.calls_out) + (1 - share) * initial
         # a stored limit may lower the initial one, since an overload may persist; a higher one is not trusted
-        limit.bound(min_value, min(initial, max(min_value, start)))
-        limit.bound(min_value, max_value)
+        limit.set_bounds(min_value, min(initial, max(min_value, start)))
+        limit.set_bounds(min_value, max_value)
     return used
 
 
-def lenders(view: View, machine: int, have: Collection[str]) -> list[Record]:
+def peers_to_ask(view: View, machine: int, have: Collection[str]) -> list[Record]:
     """Returns the peers that may be asked for learned state: in the same zone, on the same kind of machine, warm, and
     not in `have`, the peers whose state was received already."""
     return [record for name, record in sorted(view.others.items())
-            if record.belief == Belief.ALIVE and record.digest.stage == Stage.SERVING
-            and record.digest.machine == machine and record.zone == view.me.zone and name not in have]
+            if record.belief == Belief.ALIVE and record.status.stage == Stage.SERVING
+            and record.status.machine == machine and record.zone == view.me.zone and name not in have]
 
 
-def agreed(states: list[Learned], machine: int) -> Learned | None:
+def merge_learned(states: list[LearnedState], machine: int) -> LearnedState | None:
     """Returns the medians of what several peers with the same kind of machine learned; None for fewer than two peers.
 
     Guards against one peer that is overloaded or sends false values: with two peers the median is the mean, so the
@@ -210,13 +210,13 @@
         rows = [state.methods[name] for state in comparable
                 if name in state.methods and state.methods[name].runs > 0]
         if len(rows) >= 2:
-            methods[name] = Means(*(median(getattr(row, field) for row in rows)
+            methods[name] = MethodStats(*(median(getattr(row, field) for row in rows)
                                     for field in ("cost", "runs", "off", "ended", "ends")))
     # the limit on calls is each instance's own: the overload of a peer is no reason for a lower limit here
-    return Learned(machine, 0.0, median(state.usual_call for state in comparable), 0.0, 0.0, methods)
+    return LearnedState(machine, 0.0, median(state.usual_call for state in comparable), 0.0, 0.0, methods)
 
 
-class Doubt:
+class RestartGuard:
     """Detects RPCs with an idempotency key that an earlier process, whose key table is lost, may have run.
 
     A retry that reaches this process within the method's window after its start may belong to an RPC that the earlier
@@ -224,26 +224,26 @@
     it. So is a retry whose first attempt reached this process and was rejected by it.
     """
 
-    def __init__(self, born: int) -> None:
-        self.born = born
-        self.met: OrderedDict[Hashable, None] = OrderedDict()  # idempotency keys of first attempts
+    def __init__(self, started_at: int) -> None:
+        self.started_at = started_at
+        self.seen_keys: OrderedDict[Hashable, None] = OrderedDict()  # idempotency keys of first attempts
 
-    def may_have_run(self, method: Method, token: Hashable, further: bool, sent: int) -> bool:
+    def may_have_run(self, method: Method, key: Hashable, is_retry: bool, received_at: int) -> bool:
         """Returns whether an earlier process may have run the RPC.
 
         `received_at`: arrival of the attempt at this machine, by the clock of `started_at`.
 
         >>> hold = Method(MethodKind.TOKENED, 1.0, 800_000, 2_000_000, window=8_000_000)
-        >>> doubt = Doubt(1_000_000)
+        >>> doubt = RestartGuard(1_000_000)
         >>> [doubt.may_have_run(hold, *case) for case in (
         ...     ("a", False, 2_000_000), ("b", True, 2_000_000), ("a", True, 2_100_000), ("b", True, 9_000_001))]
         [False, True, False, False]
         """
-        if method.kind is not MethodKind.TOKENED or sent - self.born > method.window:
+        if method.kind is not MethodKind.KEYED or received_at - self.started_at > method.window:
             return False
-        if further:
-            return token not in self.met
-        self.met[token] = None
-        if len(self.met) > MOST_MET:
-            self.met.popitem(last=False)  # a retry with a forgotten key counts as possibly run
+        if is_retry:
+            return key not in self.seen_keys
+        self.seen_keys[key] = None
+        if len(self.seen_keys) > MAX_REMEMBERED_KEYS:
+            self.seen_keys.popitem(last=False)  # a retry with a forgotten key counts as possibly run
         return False
--- a/hollystage/decisions/comeback/calendar.py
+++ b/hollystage/decisions/comeback/retry_calendar.py
@@ -8,45 +8,45 @@
 
 from collections import OrderedDict
 
-SLOT = 20_000
-GIVEN, LEAST, MOST_GIVEN = 0.3, 0.05, 0.4  # share of the throughput that may be promised in advance
-UP, DOWN = 0.002, 0.05  # change of that share at a kept and at a broken promise; balances at one broken in 25
-EARLY, LATE = 10_000, 100_000  # how far from its promised time a caller may arrive
-MOST = 8_192
+SLOT_WIDTH = 20_000
+INITIAL_PROMISED_SHARE, MIN_PROMISED_SHARE, MAX_PROMISED_SHARE = 0.3, 0.05, 0.4  # share of the throughput that may be promised in advance
+SHARE_INCREASE, SHARE_DECREASE = 0.002, 0.05  # change of that share at a kept and at a broken promise; balances at one broken in 25
+EARLY_TOLERANCE, LATE_TOLERANCE = 10_000, 100_000  # how far from its promised time a caller may arrive
+MAX_PROMISES = 8_192
 
 
-class Calendar:
+class RetryCalendar:
     """Reserves time slots for retries and recognizes the callers that arrive at their promised time.
 
     No promise is further ahead than `max_delay`. `rate` is the throughput of the instance in RPCs per second.
     """
 
     def __init__(self, longest: int) -> None:
-        self.longest = longest
-        self.rate, self.given = 0.0, GIVEN
+        self.max_delay = longest
+        self.rate, self.promised_share = 0.0, INITIAL_PROMISED_SHARE
         self.slots: dict[int, float] = {}  # promised RPCs by slot number
         self.promises: OrderedDict[tuple[int, int], int] = OrderedDict()  # promised time by caller and method
-        self.told = self.kept = self.broken = self.late = self.without = 0
+        self.issued = self.kept = self.broken = self.late = self.unavailable = 0
 
-    def learn(self, rate: float, now: int) -> None:
+    def update_rate(self, rate: float, now: int) -> None:
         """Sets the throughput, and forgets slots and promises of the past."""
         self.rate = rate
-        current = now // SLOT
+        current = now // SLOT_WIDTH
         for number in [number for number in self.slots if number < current]:
             del self.slots[number]
-        while self.promises and next(iter(self.promises.values())) < now - self.longest - LATE:
+        while self.promises and next(iter(self.promises.values())) < now - self.max_delay - LATE_TOLERANCE:
             self.promises.popitem(last=False)
 
     def promise(self, caller: int, method: int, now: int, latest: int) -> int:
         """Promises a retry time. Returns the delay until then; 0 if no capacity is free before `latest`.
 
-        >>> calendar = Calendar(1_000_000)
-        >>> calendar.learn(100.0, 0)
+        >>> calendar = RetryCalendar(1_000_000)
+        >>> calendar.update_rate(100.0, 0)
         >>> [calendar.promise(n, 0, 0, 100_000) for n in range(6)]
         [40000, 80000, 0, 0, 0, 0]
         """
-        capacity = self.rate * self.given * SLOT / 1e6
-        first, last = now // SLOT + 1, min(now + self.longest, latest) // SLOT
+        capacity = self.rate * self.promised_share * SLOT_WIDTH / 1e6
+        first, last = now // SLOT_WIDTH + 1, min(now + self.max_delay, latest) // SLOT_WIDTH
         available = 0.0
         for number in range(first, last + 1):
             # the capacity of a slot may be below one RPC: what earlier slots left unused is added up
@@ -54,31 +54,31 @@
             available = min(1.0 + capacity, max(0.0, available + capacity - promised))
             if available >= 1.0:
                 self.slots[number] = promised + 1.0
-                due = number * SLOT
+                due = number * SLOT_WIDTH
                 key = (caller, method)
                 self.promises.pop(key, None)
                 self.promises[key] = due
-                if len(self.promises) > MOST:
+                if len(self.promises) > MAX_PROMISES:
                     self.promises.popitem(last=False)
-                self.told += 1
+                self.issued += 1
                 return due - now
-        self.without += 1
+        self.unavailable += 1
         return 0
 
-    def came(self, caller: int, method: int, now: int) -> bool:
+    def redeem(self, caller: int, method: int, now: int) -> bool:
         """Returns whether the caller was promised a time about now; the promise is used up then."""
         due = self.promises.get((caller, method))
-        if due is None or now < due - EARLY:
+        if due is None or now < due - EARLY_TOLERANCE:
             return False
         del self.promises[caller, method]
-        if now > due + LATE:
+        if now > due + LATE_TOLERANCE:
             self.late += 1
             return False
         self.kept += 1
-        self.given = min(MOST_GIVEN, self.given + UP)
+        self.promised_share = min(MAX_PROMISED_SHARE, self.promised_share + SHARE_INCREASE)
         return True
 
-    def broke(self) -> None:
+    def on_promise_broken(self) -> None:
         """Reports that an RPC was rejected although it arrived at its promised time: too much was promised."""
         self.broken += 1
-        self.given = max(LEAST, self.given - DOWN)
+        self.promised_share = max(MIN_PROMISED_SHARE, self.promised_share - SHARE_DECREASE)
--- a/hollystage/decisions/turns.py
+++ b/hollystage/decisions/jitter.py
@@ -4,20 +4,20 @@
 import random
 
 # requests per second of the whole fleet while it restarts, for any size of the fleet
-BUDGETS = {"exchange": 200.0, "fetch": 50.0, "report": 400.0}
+FLEET_RATES = {"exchange": 200.0, "fetch": 50.0, "report": 400.0}
 
 
-class Turns:
+class StartJitter:
     """Draws start delays from a seed."""
 
     def __init__(self, seed: int) -> None:
-        self.chance = random.Random(seed)
+        self.random = random.Random(seed)
 
-    def wait(self, what: str, contenders: int) -> int:
+    def delay(self, operation: str, contenders: int) -> int:
         """Returns a delay in microseconds, uniform over the time that all contenders need at the fleet's rate.
 
-        >>> turns = Turns(1)
-        >>> all(0 <= turns.wait("report", 300) <= 750_000 for _ in range(100)), turns.wait("report", 1) <= 2500
+        >>> turns = StartJitter(1)
+        >>> all(0 <= turns.delay("report", 300) <= 750_000 for _ in range(100)), turns.delay("report", 1) <= 2500
         (True, True)
         """
-        return int(self.chance.random() * max(1, contenders) / BUDGETS[what] * 1e6)
+        return int(self.random.random() * max(1, contenders) / FLEET_RATES[operation] * 1e6)
--- a/hollystage/decisions/leases/words.py
+++ b/hollystage/decisions/leases/messages.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-MOST_NAME = 64
+MAX_NAME_LENGTH = 64
 
 
-class Who(NamedTuple):
+class ProcessId(NamedTuple):
     """Identity of one process: a process that restarts under the same name has another `birth`."""
 
     name: str
@@ -18,9 +18,9 @@
 class Prepare(msgspec.Struct, frozen=True, array_like=True, tag=30):
     """Requests the promise that no smaller ballot is accepted. The sender never reuses a `request_id`."""
 
-    number: int
-    who: Who
-    turn: int
+    ballot: int
+    candidate: ProcessId
+    request_id: int
     lease: str = ""
     generation: int = 0
 
@@ -28,9 +28,9 @@
 class Propose(msgspec.Struct, frozen=True, array_like=True, tag=31):
     """Requests the lease itself, or its renewal."""
 
-    number: int
-    who: Who
-    turn: int
+    ballot: int
+    candidate: ProcessId
+    request_id: int
     lease: str = ""
     generation: int = 0
 
@@ -38,8 +38,8 @@
 class Release(msgspec.Struct, frozen=True, array_like=True, tag=32):
     """Gives the lease back; its holder has stopped acting. There is no reply."""
 
-    number: int
-    who: Who
+    ballot: int
+    candidate: ProcessId
     lease: str = ""
 
 
@@ -51,22 +51,22 @@
     as the voter knows; `remaining`: time left of that grant in microseconds of the voter's clock.
     """
 
-    turn: int
-    good: bool
-    known: int
-    by: Who | None = None
-    left: int = 0
+    request_id: int
+    accepted: bool
+    highest_ballot: int
+    holder: ProcessId | None = None
+    remaining: int = 0
     lease: str = ""
 
 
-Question = Prepare | Propose | Release
+LeaseRequest = Prepare | Propose | Release
 
 
-def sane(message: Question | Reply) -> bool:
+def is_valid(message: LeaseRequest | Reply) -> bool:
     """Returns whether the fields of a received message are within their bounds."""
-    process = message.by if isinstance(message, Reply) else message.who
-    numbers = [message.known, message.turn, message.left] if isinstance(message, Reply) else [message.number]
+    process = message.holder if isinstance(message, Reply) else message.candidate
+    numbers = [message.highest_ballot, message.request_id, message.remaining] if isinstance(message, Reply) else [message.ballot]
     if isinstance(message, Prepare | Propose):
-        numbers += [message.turn, message.generation]
-    return (len(message.lease) <= MOST_NAME and all(0 <= number < 1 << 62 for number in numbers)
-            and (process is None or (len(process.name) <= MOST_NAME and 0 <= process.birth < 1 << 62)))
+        numbers += [message.request_id, message.generation]
+    return (len(message.lease) <= MAX_NAME_LENGTH and all(0 <= number < 1 << 62 for number in numbers)
+            and (process is None or (len(process.name) <= MAX_NAME_LENGTH and 0 <= process.birth < 1 << 62)))
--- a/hollystage/decisions/leases/terms.py
+++ b/hollystage/decisions/leases/parameters.py
@@ -14,36 +14,36 @@
 from typing import NamedTuple
 
 
-class Terms(NamedTuple):
+class LeaseParameters(NamedTuple):
     """Timing of a lease or a grant.
 
     `duration`: of the lease, by the granter's clock; `drift`: the greatest deviation of a clock's rate from true
     time, as a fraction; `margin`: time that a holder needs to stop acting at the end of its lease.
     """
 
-    length: int = 5_000_000
+    duration: int = 5_000_000
     drift: float = 0.01
     margin: int = 50_000
 
     @property
-    def holds(self) -> int:
+    def holder_duration(self) -> int:
         """How long a holder may act, by its own clock and counted from its request."""
-        return self.lasts(self.length)
+        return self.usable_duration(self.duration)
 
-    def lasts(self, remaining: int) -> int:
+    def usable_duration(self, remaining: int) -> int:
         """Converts the remaining time of another clock to a safe duration of this clock, counted from the request.
 
-        >>> Terms(drift=0.0, margin=0).lasts(1000), Terms(drift=0.01, margin=0).lasts(1_000_000)
+        >>> LeaseParameters(drift=0.0, margin=0).usable_duration(1000), LeaseParameters(drift=0.01, margin=0).usable_duration(1_000_000)
         (1000, 980198)
         """
         return int(remaining * (1 - self.drift) / (1 + self.drift)) - self.margin
 
-    def surely(self, span: int) -> int:
+    def safe_wait(self, span: int) -> int:
         """How long to wait by this clock until `span` of true time has certainly passed."""
         return int(span * (1 + self.drift)) + 1
 
 
-class Electorate(NamedTuple):
+class VoterSet(NamedTuple):
     """The processes that vote on leases.
 
     A change of the set adds one voter or removes one, never both, so that majorities of the old and the new set
@@ -54,34 +54,34 @@
     """
 
     voters: tuple[str, ...]
-    before: tuple[str, ...] = ()
+    previous: tuple[str, ...] = ()
     generation: int = 0
 
     @property
-    def everyone(self) -> tuple[str, ...]:
+    def all_voters(self) -> tuple[str, ...]:
         """The voters of both sets, each once."""
-        return tuple(dict.fromkeys((*self.voters, *self.before)))
+        return tuple(dict.fromkeys((*self.voters, *self.previous)))
 
-    def enough(self, accepted_by: set[str]) -> bool:
+    def is_quorum(self, accepted_by: set[str]) -> bool:
         """Returns whether these voters are a majority of every set that counts.
 
-        >>> Electorate(("a", "b", "c", "d"), ("a", "b", "c"), 1).enough({"a", "b"})
+        >>> VoterSet(("a", "b", "c", "d"), ("a", "b", "c"), 1).is_quorum({"a", "b"})
         False
-        >>> Electorate(("a", "b", "c")).enough({"a", "b"})
+        >>> VoterSet(("a", "b", "c")).is_quorum({"a", "b"})
         True
         """
-        return all(2 * len(accepted_by.intersection(voters)) > len(voters) for voters in (self.voters, self.before) if
+        return all(2 * len(accepted_by.intersection(voters)) > len(voters) for voters in (self.voters, self.previous) if
         voters)
 
-    def beyond(self, rejected_by: set[str]) -> bool:
+    def excludes_quorum(self, rejected_by: set[str]) -> bool:
         """Returns whether the remaining voters can no longer form a quorum."""
-        return not self.enough(set(self.everyone) - rejected_by)
+        return not self.is_quorum(set(self.all_voters) - rejected_by)
 
 
-def one_apart(before: tuple[str, ...], voters: tuple[str, ...]) -> bool:
+def differ_by_one_voter(before: tuple[str, ...], voters: tuple[str, ...]) -> bool:
     """Returns whether two sets of voters differ by exactly one voter.
 
-    >>> one_apart(("a", "b", "c"), ("a", "b", "c", "d")), one_apart(("a", "b"), ("a", "c"))
+    >>> differ_by_one_voter(("a", "b", "c"), ("a", "b", "c", "d")), differ_by_one_voter(("a", "b"), ("a", "c"))
     (True, False)
     """
     return len(set(before) ^ set(voters)) == 1
--- a/hollystage/decisions/leases/voter.py
+++ b/hollystage/decisions/leases/voter.py
@@ -5,10 +5,10 @@
 """
 from __future__ import annotations
 
-from .terms import Electorate, Terms
-from .words import Prepare, Propose, Question, Release, Reply, Who
+from .messages import LeaseRequest, Prepare, ProcessId, Propose, Release, Reply
+from .parameters import LeaseParameters, VoterSet
 
-LEASES = 64  # leases that a voter keeps at once; leases without a holder are evicted first
+MAX_LEASES = 64  # leases that a voter keeps at once; leases without a holder are evicted first
 
 
 class Voter:
@@ -18,22 +18,22 @@
     earlier process of this voter may have granted, where it exceeds the current one.
     """
 
-    def __init__(self, terms: Terms, started_at: int, floor: int, max_duration: int = 0) -> None:
-        self.terms = terms
+    def __init__(self, terms: LeaseParameters, started_at: int, floor: int, max_duration: int = 0) -> None:
+        self.parameters = terms
         # a lease granted by an earlier process of this voter may still be held
-        self.silent_until = started_at + max(max_duration, terms.length)
-        self.known = floor
-        self.promised: tuple[int, Who] | None = None
-        self.granted: tuple[int, Who] | None = None
-        self.until = 0
+        self.blocked_until = started_at + max(max_duration, terms.duration)
+        self.highest_ballot = floor
+        self.promised: tuple[int, ProcessId] | None = None
+        self.granted: tuple[int, ProcessId] | None = None
+        self.granted_until = 0
 
-    def holder(self, now: int) -> Who | None:
+    def holder(self, now: int) -> ProcessId | None:
         """Returns the process whose grant has not expired, if there is one."""
-        return self.granted[1] if self.granted is not None and now < self.until else None
+        return self.granted[1] if self.granted is not None and now < self.granted_until else None
 
     def _reply(self, request_id: int, accepted: bool, now: int) -> Reply:
         holder = self.holder(now)
-        return Reply(request_id, accepted, self.known, holder, self.until - now if holder is not None else 0)
+        return Reply(request_id, accepted, self.highest_ballot, holder, self.granted_until - now if holder is not None else 0)
 
     def prepare(self, request: Prepare, now: int) -> Reply:
         """Promises to accept no smaller ballot. Each ballot is promised to one process only.
@@ -41,73 +41,73 @@
         While another process holds the lease nothing is promised: a candidate that reaches no majority must not
         prevent the holder from renewing.
         """
-        if (now < self.silent_until or request.number <= self.known
-                or self.holder(now) not in (None, request.who)):
-            return self._reply(request.turn, False, now)
-        self.known, self.promised = request.number, (request.number, request.who)
-        return self._reply(request.turn, True, now)
+        if (now < self.blocked_until or request.ballot <= self.highest_ballot
+                or self.holder(now) not in (None, request.candidate)):
+            return self._reply(request.request_id, False, now)
+        self.highest_ballot, self.promised = request.ballot, (request.ballot, request.candidate)
+        return self._reply(request.request_id, True, now)
 
     def propose(self, request: Propose, now: int) -> Reply:
         """Grants the lease, or extends a grant to the same process under the same ballot."""
-        proposal = (request.number, request.who)
+        proposal = (request.ballot, request.candidate)
         holder = self.holder(now)
-        if (now < self.silent_until or holder not in (None, request.who)
-                or proposal not in (self.promised, self.granted) or request.number < self.known):
-            return self._reply(request.turn, False, now)
-        self.granted, self.until = proposal, now + self.terms.length
-        return self._reply(request.turn, True, now)
+        if (now < self.blocked_until or holder not in (None, request.candidate)
+                or proposal not in (self.promised, self.granted) or request.ballot < self.highest_ballot):
+            return self._reply(request.request_id, False, now)
+        self.granted, self.granted_until = proposal, now + self.parameters.duration
+        return self._reply(request.request_id, True, now)
 
     def release(self, request: Release) -> None:
         """Ends a grant whose holder has stopped acting, so that the next candidate need not wait for its expiry."""
-        if self.granted == (request.number, request.who):
-            self.granted, self.until = None, 0
+        if self.granted == (request.ballot, request.candidate):
+            self.granted, self.granted_until = None, 0
 
 
-class Booth:
+class VoterTable:
     """The voters of all leases of one process, by lease name.
 
     A full table evicts a lease without a holder. Its greatest ballot is kept as the lower bound of all later leases.
     """
 
-    def __init__(self, terms: Terms, electorate: Electorate, started_at: int, floor: int) -> None:
-        self.terms, self.electorate, self.born, self.floor = terms, electorate, started_at, floor
+    def __init__(self, terms: LeaseParameters, electorate: VoterSet, started_at: int, floor: int) -> None:
+        self.parameters, self.voter_set, self.started_at, self.min_ballot = terms, electorate, started_at, floor
         self.voters: dict[str, Voter] = {}
         self.refused = 0
 
-    def asked(self, request: Question, now: int) -> Reply | None:
+    def handle_request(self, request: LeaseRequest, now: int) -> Reply | None:
         """Handles the request of a candidate and returns the reply, or None if there is none."""
         if isinstance(request, Release):
             voter = self.voters.get(request.lease)
             if voter is not None:
                 voter.release(request)
             return None
-        if request.generation not in (self.electorate.generation, self.electorate.generation + 1):
+        if request.generation not in (self.voter_set.generation, self.voter_set.generation + 1):
             self.refused += 1
-            return Reply(request.turn, False, 0, lease=request.lease)
+            return Reply(request.request_id, False, 0, lease=request.lease)
         voter = self._voter(request.lease, now)
         if voter is None:
             self.refused += 1
             return None
         reply = voter.propose(request, now) if isinstance(request, Propose) else voter.prepare(request, now)
-        return Reply(reply.turn, reply.good, reply.known, reply.by, reply.left, request.lease)
+        return Reply(reply.request_id, reply.accepted, reply.highest_ballot, reply.holder, reply.remaining, request.lease)
 
     def _voter(self, lease: str, now: int) -> Voter | None:
         voter = self.voters.get(lease)
         if voter is None:
-            if len(self.voters) >= LEASES and not self._forget(now):
+            if len(self.voters) >= MAX_LEASES and not self._evict_one(now):
                 return None
-            voter = self.voters[lease] = Voter(self.terms, self.born, self.floor)
+            voter = self.voters[lease] = Voter(self.parameters, self.started_at, self.min_ballot)
         return voter
 
-    def _forget(self, now: int) -> bool:
+    def _evict_one(self, now: int) -> bool:
         """Evicts one lease without a holder and returns whether there was one.
 
         Only its greatest ballot is kept, as the bound that the ballots of later leases must exceed. A promise without
         a grant is evicted too: the proposal that may follow it is then rejected, which is safe.
         """
         for name, voter in self.voters.items():
-            if voter.holder(now) is None and now >= voter.silent_until:
-                self.floor = max(self.floor, voter.known)
+            if voter.holder(now) is None and now >= voter.blocked_until:
+                self.min_ballot = max(self.min_ballot, voter.highest_ballot)
                 del self.voters[name]
                 return True
         return False
--- a/hollystage/decisions/leaving/notice.py
+++ b/hollystage/decisions/leaving/drain_notice.py
@@ -8,48 +8,48 @@
 """
 from __future__ import annotations
 
-BEAT = 50_000  # microseconds
+HEARTBEAT_INTERVAL = 50_000  # microseconds
 
 
-class Notice:
+class DrainNotice:
     """Determines the time of a drain notice from heartbeats; all times in microseconds of one clock.
 
-    >>> notice = Notice(grace=300_000, begun=0)
+    >>> notice = DrainNotice(grace=300_000, begun=0)
     >>> for at in range(900_000, 1_050_001, 50_000):
-    ...     notice.beat(at)
-    >>> notice.beat(4_000_000)  # the process was suspended for three seconds
-    >>> [notice.in_doubt(came) for came in (1_200_000, 1_400_000)], notice.given(4_000_000)
+    ...     notice.heartbeat(at)
+    >>> notice.heartbeat(4_000_000)  # the process was suspended for three seconds
+    >>> [notice.in_doubt(came) for came in (1_200_000, 1_400_000)], notice.given_at(4_000_000)
     ([False, True], 1000000)
     """
 
-    def __init__(self, grace: int, begun: int) -> None:
-        self.slept = max(2 * BEAT, grace // 4)  # a longer gap means a suspension
-        self.grace = max(grace, 3 * BEAT)  # no RPC is in doubt while heartbeats are in time
-        self.clear = self.last = begun
+    def __init__(self, grace: int, started_at: int) -> None:
+        self.max_heartbeat_gap = max(2 * HEARTBEAT_INTERVAL, grace // 4)  # a longer gap means a suspension
+        self.grace = max(grace, 3 * HEARTBEAT_INTERVAL)  # no RPC is in doubt while heartbeats are in time
+        self.last_clear = self.last_heartbeat = started_at
 
-    def beat(self, now: int) -> None:
+    def heartbeat(self, now: int) -> None:
         """Reports that a thread that only sleeps has just run.
 
         If the gap since the previous heartbeat is short, the thread that waits for signals could run in between, so
         that no notice had been given before the previous heartbeat.
         """
-        if now - self.last <= self.slept:
-            self.silent(self.last)
-        self.last = now
+        if now - self.last_heartbeat <= self.max_heartbeat_gap:
+            self.confirm_no_notice(self.last_heartbeat)
+        self.last_heartbeat = now
 
-    def silent(self, at: int) -> None:
+    def confirm_no_notice(self, at: int) -> None:
         """Reports that a check at or after `at` found no notice."""
-        self.clear, self.last = max(self.clear, at), max(self.last, at)
+        self.last_clear, self.last_heartbeat = max(self.last_clear, at), max(self.last_heartbeat, at)
 
-    def given(self, now: int) -> int:
+    def given_at(self, now: int) -> int:
         """Returns when a notice that is received now was given.
 
         This is `now` if the last two heartbeats were in time, since the thread that waits for signals could run then;
         otherwise it is the earliest possible time.
         """
-        return now if now - self.clear < 3 * BEAT else self.clear
+        return now if now - self.last_clear < 3 * HEARTBEAT_INTERVAL else self.last_clear
 
-    def in_doubt(self, came: int) -> bool:
+    def in_doubt(self, received_at: int) -> bool:
         """Returns whether an RPC that reached the machine at `received_at` may be past the grace of a notice that has
         not been received yet."""
-        return came > self.clear + self.grace
+        return received_at > self.last_clear + self.grace
--- a/hollystage/decisions/membership/news.py
+++ b/hollystage/decisions/membership/gossip.py
@@ -3,10 +3,10 @@
 
 from math import ceil, log2
 
-from .records import News
+from .records import Update
 
 
-class Gazette:
+class UpdateQueue:
     """The latest update about each member; an update that was sent often enough is dropped.
 
     As in SWIM, an update is sent `retransmit_factor` times the binary logarithm of the number of members. It then
@@ -15,63 +15,63 @@
     """
 
     def __init__(self, retransmit_factor: int) -> None:
-        self.spread = retransmit_factor
-        self.told: list[dict[str, News]] = [{}]  # index: how often they were sent
-        self.at: dict[str, int] = {}  # how often the update about a member was sent
+        self.retransmit_factor = retransmit_factor
+        self.by_transmissions: list[dict[str, Update]] = [{}]  # index: how often they were sent
+        self.transmissions: dict[str, int] = {}  # how often the update about a member was sent
 
     def __len__(self) -> int:
-        return len(self.at)
+        return len(self.transmissions)
 
-    def limit(self, members: int) -> int:
+    def max_transmissions(self, members: int) -> int:
         """Returns how often an update is sent in a fleet of this size."""
-        return self.spread * ceil(log2(members + 1))
+        return self.retransmit_factor * ceil(log2(members + 1))
 
-    def add(self, update: News) -> None:
+    def add(self, update: Update) -> None:
         """Adds an update; it replaces an earlier one about the same member."""
         name = update.record.name
         self.drop(name)
-        self.told[0][name] = update
-        self.at[name] = 0
+        self.by_transmissions[0][name] = update
+        self.transmissions[name] = 0
 
     def drop(self, name: str) -> None:
         """Removes the update about a member, if there is one."""
-        sent = self.at.pop(name, None)
+        sent = self.transmissions.pop(name, None)
         if sent is not None:
-            del self.told[sent][name]
+            del self.by_transmissions[sent][name]
 
-    def take(self, room: int, members: int, first: News | None = None) -> list[News]:
+    def take(self, room: int, members: int, first: Update | None = None) -> list[Update]:
         """Selects updates that fit into `room` bytes. `first` precedes them; sending it is not counted."""
-        chosen: list[News] = []
+        chosen: list[Update] = []
         skipped_name = ""
         if first is not None:
-            room -= cost(first)
+            room -= max_encoded_size(first)
             chosen.append(first)
             skipped_name = first.record.name
-        limit, counted = self.limit(members), []
-        for sent, updates in enumerate(self.told):
+        limit, counted = self.max_transmissions(members), []
+        for sent, updates in enumerate(self.by_transmissions):
             for name, update in updates.items():
                 if name == skipped_name:
                     continue
-                if cost(update) > room:
+                if max_encoded_size(update) > room:
                     break
-                room -= cost(update)
+                room -= max_encoded_size(update)
                 chosen.append(update)
                 counted.append((sent, name, update))
             else:
                 continue
             break
         for sent, name, update in counted:
-            del self.told[sent][name]
+            del self.by_transmissions[sent][name]
             if sent + 1 >= limit:
-                del self.at[name]
+                del self.transmissions[name]
                 continue
-            if sent + 1 == len(self.told):
-                self.told.append({})
-            self.told[sent + 1][name] = update
-            self.at[name] = sent + 1
+            if sent + 1 == len(self.by_transmissions):
+                self.by_transmissions.append({})
+            self.by_transmissions[sent + 1][name] = update
+            self.transmissions[name] = sent + 1
         return chosen
 
 
-def cost(update: News) -> int:
+def max_encoded_size(update: Update) -> int:
     """Returns an upper bound of the bytes of the encoded update."""
-    return update.record.size() + len(update.by) + 4
+    return update.record.max_encoded_size() + len(update.reporter) + 4
--- a/hollystage/decisions/membership/words.py
+++ b/hollystage/decisions/membership/messages.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from .records import News, Record
+from .records import Record, Update
 
 
 class Ping(msgspec.Struct, frozen=True, array_like=True, tag=1):
@@ -19,10 +19,10 @@
     """Reports that the member `name` answered; in a relayed Ack it is not the sender."""
 
     seq: int
-    of: str
+    name: str
 
 
-class Ask(msgspec.Struct, frozen=True, array_like=True, tag=3):
+class PingRequest(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """Asks the receiver to probe the member `name` on behalf of the sender."""
 
     seq: int
@@ -36,23 +36,23 @@
     seq: int
 
 
-Word = Ping | Ack | Ask | Nack
+Message = Ping | Ack | PingRequest | Nack
 
 
-class Opening(msgspec.Struct, frozen=True, array_like=True, tag=5):
+class SyncRequest(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """First message of a full sync: checksums of the sender's view, one for each bucket."""
 
-    sums: list[int]
+    checksums: list[int]
 
 
-class Answer(msgspec.Struct, frozen=True, array_like=True, tag=6):
+class SyncResponse(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """Second message: the buckets whose checksums differ, and the responder's records in them."""
 
-    shelves: list[int]
+    buckets: list[int]
     records: list[Record]
 
 
-class Rest(msgspec.Struct, frozen=True, array_like=True, tag=7):
+class SyncPush(msgspec.Struct, frozen=True, array_like=True, tag=7):
     """Third message: the requester's records in these buckets."""
 
     records: list[Record]
@@ -62,11 +62,11 @@
     """Action: send a message with piggybacked updates as one datagram."""
 
     address: str
-    word: Word
-    news: list[News]
+    message: Message
+    updates: list[Update]
 
 
-class Meet(NamedTuple):
+class StartSync(NamedTuple):
     """Action: run a full sync with the process at the address."""
 
     address: str
@@ -76,6 +76,6 @@
     """A change worth a log line; `member` is the name of the member it is about."""
 
     at: int
-    what: str
-    who: str
+    kind: str
+    member: str
     detail: str = ""
--- a/hollystage/decisions/membership/probing.py
+++ b/hollystage/decisions/membership/probing.py
@@ -8,83 +8,83 @@
 
 import msgspec
 
-from .held import Held
+from .messages import Ack, Nack, Ping, PingRequest
+from .parameters import Parameters
 from .records import Belief, Record
-from .terms import Terms
-from .words import Ack, Ask, Nack, Ping
+from .state import MembershipState
 
 
 class Probe:
     """A ping that waits for its answer, and the helpers that were asked to probe the same member."""
 
-    __slots__ = ("name", "process", "asked", "nacks", "to")
+    __slots__ = ("name", "process", "helpers_asked", "nacks", "address")
 
     def __init__(self, name: str, process: tuple[int, int], address: str) -> None:
-        self.name, self.process, self.to = name, process, address
-        self.asked = self.nacks = 0
+        self.name, self.process, self.address = name, process, address
+        self.helpers_asked = self.nacks = 0
 
 
-class Probing(Held):
+class FailureDetector(MembershipState):
     """The part of `Members` that sends probes and answers requests for probes."""
 
-    def __init__(self, me: Record, configured_peers: Any, parameters: Terms, seed: int, now: int) -> None:
+    def __init__(self, me: Record, configured_peers: Any, parameters: Parameters, seed: int, now: int) -> None:
         super().__init__(me, configured_peers, parameters, seed, now)
         self.probes: dict[int, Probe] = {}
         self.relays: dict[int, tuple[str, int]] = {}  # address of the requester and its sequence number
 
     def _probe(self, _: None) -> None:
         """Timer: pings the next member of this round."""
-        self._at(self.now + self.health.stretch(self.terms.period), self._probe, None)
+        self._schedule(self.now + self.local_health.scale(self.parameters.probe_period), self._probe, None)
         if self.ousted:
             return
-        target = self._next_turn()
+        target = self._next_target()
         if target is None:
             return
         self.seq += 1
         self.probes[self.seq] = Probe(target.name, target.process, target.address)
         self._send(target.address, Ping(self.seq, target.name), target)
-        self._at(self.now + self.health.stretch(self.terms.timeout), self._late, self.seq)
-        self._at(self.now + self.health.stretch(self.terms.period) - 1, self._unanswered, self.seq)
+        self._schedule(self.now + self.local_health.scale(self.parameters.ack_timeout), self._probe_indirectly, self.seq)
+        self._schedule(self.now + self.local_health.scale(self.parameters.probe_period) - 1, self._probe_failed, self.seq)
 
-    def _next_turn(self) -> Record | None:
+    def _next_target(self) -> Record | None:
         """Returns the next live member of this round; shuffles all members for a new round when one ends."""
-        for _ in range(len(self.turns) + len(self.living) + 1):
-            if not self.turns:
+        for _ in range(len(self.probe_queue) + len(self.living) + 1):
+            if not self.probe_queue:
                 if not self.living:
                     return None
-                self.turns = list(self.living)
-                self.chance.shuffle(self.turns)
-            record = self.records.get(self.turns.pop())
+                self.probe_queue = list(self.living)
+                self.rng.shuffle(self.probe_queue)
+            record = self.records.get(self.probe_queue.pop())
             if record is not None and record.living:
                 return record
         return None
 
-    def _late(self, seq: int) -> None:
+    def _probe_indirectly(self, seq: int) -> None:
         """Timer: no answer within the ack timeout. Pings once more and asks helpers to probe the member."""
         probe = self.probes.get(seq)
         if probe is None:
             return
         record = self.records.get(probe.name)
-        self._send(probe.to, Ping(seq, probe.name), record)  # a single datagram may have been lost
-        helpers = [name for name in self._some(2 * self.terms.helpers + 1) if name != probe.name]
+        self._send(probe.address, Ping(seq, probe.name), record)  # a single datagram may have been lost
+        helpers = [name for name in self._sample(2 * self.parameters.indirect_probes + 1) if name != probe.name]
         # suspects last: their missing answers would be taken for a problem of this process
         helpers.sort(key=lambda name: name in self.suspects)
-        for name in helpers[:self.terms.helpers]:
-            probe.asked += 1
-            self._send(self.records[name].address, Ask(seq, probe.name, probe.to))
+        for name in helpers[:self.parameters.indirect_probes]:
+            probe.helpers_asked += 1
+            self._send(self.records[name].address, PingRequest(seq, probe.name, probe.address))
 
-    def _some(self, count: int) -> list[str]:
+    def _sample(self, count: int) -> list[str]:
         """Returns the names of up to `count` random live members."""
-        return self.chance.sample(self.living, min(count, len(self.living)))
+        return self.rng.sample(self.living, min(count, len(self.living)))
 
-    def _unanswered(self, seq: int) -> None:
+    def _probe_failed(self, seq: int) -> None:
         """Timer: the probe period is over without an answer. Suspects the member, or confirms its suspicion."""
         probe = self.probes.pop(seq, None)
         if probe is None:
             return
         self.counts["probes_failed"] += 1
         # helpers that send not even a Nack: the problem may be on the side of this process
-        self.health.note(probe.asked - probe.nacks if probe.asked else 1)
+        self.local_health.adjust(probe.helpers_asked - probe.nacks if probe.helpers_asked else 1)
         record = self.records.get(probe.name)
         if record is None or record.process != probe.process or not record.living:
             return
@@ -92,56 +92,56 @@
             self.counts["muted"] += 1
             return
         if record.belief == Belief.SUSPECT:
-            self._confirm(record, self.me.name)
+            self._confirm_suspicion(record, self.me.name)
         else:
-            self._learn(msgspec.structs.replace(record, belief=Belief.SUSPECT), self.me.name)
+            self._apply_record(msgspec.structs.replace(record, belief=Belief.SUSPECT), self.me.name)
 
-    def _acked(self, message: Ack) -> None:
+    def _handle_ack(self, message: Ack) -> None:
         """Ends the probe that the Ack answers, and relays it if the probe was made for another member."""
         probe = self.probes.get(message.seq)
-        if probe is not None and probe.name == message.of:
+        if probe is not None and probe.name == message.name:
             del self.probes[message.seq]
-            self.health.note(-1)
-            if self.unheard is not None:
+            self.local_health.adjust(-1)
+            if self.unconfirmed is not None:
                 # only answers to probes sent after the pause count: what waited in the socket during it is not fresh
-                self.unheard.discard(message.of)
-                if 2 * len(self.unheard) <= len(self.living):
-                    self._refreshed()
+                self.unconfirmed.discard(message.name)
+                if 2 * len(self.unconfirmed) <= len(self.living):
+                    self._mark_fresh()
         relay = self.relays.pop(message.seq, None)
         if relay is not None:
-            self._send(relay[0], Ack(relay[1], message.of))
+            self._send(relay[0], Ack(relay[1], message.name))
 
-    def _asked(self, message: Ask, sender: Record) -> None:
+    def _handle_ping_request(self, message: PingRequest, sender: Record) -> None:
         """Probes a member for another one and remembers to relay the answer."""
         self.seq += 1
         self.relays[self.seq] = sender.address, message.seq
         self._send(message.address, Ping(self.seq, message.name), self.records.get(message.name))
-        self._at(self.now + self.terms.timeout, self._not_relayed, self.seq)
+        self._schedule(self.now + self.parameters.ack_timeout, self._relay_expired, self.seq)
 
-    def _not_relayed(self, seq: int) -> None:
+    def _relay_expired(self, seq: int) -> None:
         """Timer: the member that was probed for a requester did not answer in time."""
         relay = self.relays.pop(seq, None)
         if relay is not None:
             self._send(relay[0], Nack(relay[1]))
 
-    def _wake(self, now: int) -> None:
+    def _check_stall(self, now: int) -> None:
         """Detects a pause of this process and discards what it cannot trust after it.
 
         Unanswered probes may be due to the pause itself, and the view is out of date. This process suspects nobody
         until it has had time to hear from the other members.
         """
-        late = self.stalls.woke(now, max(0, self.next_at - now))
+        late = self.stall_detector.on_timer(now, max(0, self.next_at - now))
         self.now = max(self.now, now)
         if not late:
             return
         self.counts["slept"] += 1
-        self.health.note(1)
+        self.local_health.adjust(1)
         self.probes.clear()
         self.relays.clear()
-        self.mute_until = max(self.mute_until, now + 2 * self.terms.period + min(late, 4 * self.terms.period))
-        if late >= self.terms.period:
-            self._event("slept", self.me.name, f"{late // 1000} ms")
-            self.unheard = set(self.living)
-            self.changed = True
-            if self.living and late >= 4 * self.terms.period and now - self.met_at >= self.terms.again:
-                self._meet(self.records[self.chance.choice(self.living)].address)
+        self.mute_until = max(self.mute_until, now + 2 * self.parameters.probe_period + min(late, 4 * self.parameters.probe_period))
+        if late >= self.parameters.probe_period:
+            self._record_event("slept", self.me.name, f"{late // 1000} ms")
+            self.unconfirmed = set(self.living)
+            self.view_changed = True
+            if self.living and late >= 4 * self.parameters.probe_period and now - self.last_sync_at >= self.parameters.min_sync_interval:
+                self._start_sync(self.records[self.rng.choice(self.living)].address)
--- a/hollystage/decisions/membership/records.py
+++ b/hollystage/decisions/membership/records.py
@@ -17,10 +17,10 @@
 
 import msgspec
 
-MOST_GENERATIONS, MOST_EXTRA = 8, 64  # numbers in a status; bytes of its `extra` field
-NAME = re.compile(r"[A-Za-z0-9._-]{1,64}").fullmatch
-PLACE = re.compile(r"[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}").fullmatch  # no host names: no DNS lookup
-FIXED = 80  # bytes of a record without its strings: numbers of up to nine bytes and headers
+MAX_GENERATIONS, MAX_EXTRA_BYTES = 8, 64  # numbers in a status; bytes of its `extra` field
+match_name = re.compile(r"[A-Za-z0-9._-]{1,64}").fullmatch
+match_address = re.compile(r"[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}").fullmatch  # no host names: no DNS lookup
+MAX_FIXED_BYTES = 80  # bytes of a record without its strings: numbers of up to nine bytes and headers
 
 
 class Belief(IntEnum):
@@ -45,7 +45,7 @@
 LIVING = (Belief.ALIVE, Belief.SUSPECT)
 
 
-class Digest(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class MemberStatus(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """The status that a process publishes about itself.
 
     `version`: grows with each change, within one boot. `plan`: the first 32 bits of the hash of its plan.
@@ -74,7 +74,7 @@
     birth: int
     incarnation: int = 0
     belief: int = Belief.ALIVE
-    digest: Digest = Digest()
+    status: MemberStatus = MemberStatus()
 
     @property
     def process(self) -> tuple[int, int]:
@@ -82,7 +82,7 @@
         return self.boot, self.birth
 
     @property
-    def weight(self) -> tuple[int, int, int, int]:
+    def precedence(self) -> tuple[int, int, int, int]:
         """The greater record wins. LEFT is published by the process itself, so that no incarnation comes after it."""
         left = self.belief == Belief.LEFT
         return self.boot, self.birth, (1 << 62) if left else self.incarnation, self.belief
@@ -92,34 +92,34 @@
         """Whether the member is believed to be alive, or is only suspected."""
         return self.belief <= Belief.SUSPECT
 
-    def size(self) -> int:
+    def max_encoded_size(self) -> int:
         """Returns an upper bound of the bytes of the encoded record."""
-        return FIXED + len(self.name) + len(self.zone) + len(self.address) + len(self.digest.extra) + (
-            9 * len(self.digest.generations))
+        return MAX_FIXED_BYTES + len(self.name) + len(self.zone) + len(self.address) + len(self.status.extra) + (
+            9 * len(self.status.generations))
 
-    def sane(self) -> bool:
+    def is_valid(self) -> bool:
         """Returns whether all fields are within the bounds that senders must keep."""
-        status = self.digest
-        return (_formed(self.name, self.zone, self.address) and 0 <= self.boot < 1 << 62
+        status = self.status
+        return (_valid_identity(self.name, self.zone, self.address) and 0 <= self.boot < 1 << 62
                 and 0 <= self.birth < 1 << 62 and 0 <= self.incarnation < 1 << 61 and 0 <= self.belief <= 3
                 and 0 <= status.version < 1 << 62 and 0 <= status.stage <= 4 and 0 <= status.plan < 1 << 32
                 and 0 <= status.pressure <= 3 and 0 <= status.machine < 1 << 32
-                and 0 <= status.age < 1 << 40 and len(status.extra) <= MOST_EXTRA
-                and len(status.generations) <= MOST_GENERATIONS
+                and 0 <= status.age < 1 << 40 and len(status.extra) <= MAX_EXTRA_BYTES
+                and len(status.generations) <= MAX_GENERATIONS
                 and all(0 <= number < 1 << 62 for number in status.generations))
 
 
 @lru_cache(maxsize=4096)
-def _formed(name: str, zone: str, address: str) -> bool:
+def _valid_identity(name: str, zone: str, address: str) -> bool:
     """Keeps names that a modified peer might send out of logs and tables."""
-    return bool(NAME(name) and (not zone or NAME(zone)) and PLACE(address))
+    return bool(match_name(name) and (not zone or match_name(zone)) and match_address(address))
 
 
-class News(msgspec.Struct, frozen=True, array_like=True, gc=False):
+class Update(msgspec.Struct, frozen=True, array_like=True, gc=False):
     """A record in transit and the member that reported it; for a suspicion, the member that got no answer."""
 
     record: Record
-    by: str
+    reporter: str
 
 
 class View(NamedTuple):
@@ -129,7 +129,7 @@
     its name.
     """
 
-    at: int
+    taken_at: int
     me: Record
     others: dict[str, Record]
     fresh: bool
@@ -141,22 +141,22 @@
         return sorted([*live, self.me], key=lambda record: record.name)
 
 
-def merged(old: Record, new: Record) -> Record:
+def merge(old: Record, new: Record) -> Record:
     """Returns the record to keep: the belief with the higher precedence, and the status with the higher version.
 
     The record of a later process replaces that of an earlier one.
 
-    >>> old = Record("a", "z", "h:1", 5, 1, 2, Belief.SUSPECT, Digest(7, Stage.SERVING))
-    >>> result = merged(old, Record("a", "z", "h:1", 5, 1, 2, Belief.ALIVE, Digest(8, Stage.DRAINING)))
-    >>> result.belief == Belief.SUSPECT, result.digest.stage == Stage.DRAINING
+    >>> old = Record("a", "z", "h:1", 5, 1, 2, Belief.SUSPECT, MemberStatus(7, Stage.SERVING))
+    >>> result = merge(old, Record("a", "z", "h:1", 5, 1, 2, Belief.ALIVE, MemberStatus(8, Stage.DRAINING)))
+    >>> result.belief == Belief.SUSPECT, result.status.stage == Stage.DRAINING
     (True, True)
-    >>> merged(old, Record("a", "z", "h:1", 4, 9, 99, Belief.LEFT)) is old
+    >>> merge(old, Record("a", "z", "h:1", 4, 9, 99, Belief.LEFT)) is old
     True
     """
     if new.process < old.process:
         return old
     if new.process > old.process:
         return new
-    status = new.digest if new.digest.version > old.digest.version else old.digest
-    winner = new if new.weight > old.weight else old
-    return winner if winner.digest is status else msgspec.structs.replace(winner, digest=status)
+    status = new.status if new.status.version > old.status.version else old.status
+    winner = new if new.precedence > old.precedence else old
+    return winner if winner.status is status else msgspec.structs.replace(winner, status=status)
