--- a/hollystage/decisions/membership/doors.py
+++ b/hollystage/decisions/membership/replay.py
@@ -13,7 +13,7 @@
 
 K = TypeVar("K")
 V = TypeVar("V")
-WIDTH = 1024  # counters behind the highest one that are still accepted, for datagrams that arrive out of order
+WINDOW_SIZE = 1024  # counters behind the highest one that are still accepted, for datagrams that arrive out of order
 
 
 class Verdict(Enum):
@@ -24,78 +24,78 @@
     REPLAYED = "replayed"
 
 
-class Window:
+class ReplayWindow:
     """Sliding replay window over the counters of one sender."""
 
-    __slots__ = ("top", "bits")
+    __slots__ = ("highest", "bits")
 
     def __init__(self) -> None:
-        self.top, self.bits = -1, 0
+        self.highest, self.bits = -1, 0
 
-    def take(self, counter: int) -> bool:
+    def accept(self, counter: int) -> bool:
         """Returns whether the counter is new and within the window, and marks it as seen.
 
-        >>> window = Window()
-        >>> [window.take(n) for n in (5, 7, 5, 6, 6, 7 + WIDTH, 7, 8)]
+        >>> window = ReplayWindow()
+        >>> [window.take(n) for n in (5, 7, 5, 6, 6, 7 + WINDOW_SIZE, 7, 8)]
         [True, True, False, True, False, True, False, True]
         """
-        ahead = counter - self.top
+        ahead = counter - self.highest
         if ahead > 0:
-            self.bits = (self.bits << min(ahead, WIDTH) | 1) & ((1 << WIDTH) - 1)
-            self.top = counter
+            self.bits = (self.bits << min(ahead, WINDOW_SIZE) | 1) & ((1 << WINDOW_SIZE) - 1)
+            self.highest = counter
             return True
-        if -ahead >= WIDTH or self.bits >> -ahead & 1:
+        if -ahead >= WINDOW_SIZE or self.bits >> -ahead & 1:
             return False
         self.bits |= 1 << -ahead
         return True
 
 
-class Doors:
+class ReplayGuard:
     """The session of this process, the known sessions of its peers, and a replay window for each sender.
 
     Both tables are bounded; the least recently used entry is evicted first.
     """
 
-    def __init__(self, session: int, most: int = 16_384) -> None:
-        self.door, self.former, self.most = session, 0, most
-        self.windows: OrderedDict[tuple[int, int], Window] = OrderedDict()  # by birth of the sender and session
-        self.theirs: OrderedDict[str, int] = OrderedDict()  # by address
-        self.count = 0
+    def __init__(self, session: int, max_entries: int = 16_384) -> None:
+        self.session, self.previous_session, self.max_entries = session, 0, max_entries
+        self.windows: OrderedDict[tuple[int, int], ReplayWindow] = OrderedDict()  # by birth of the sender and session
+        self.peer_sessions: OrderedDict[str, int] = OrderedDict()  # by address
+        self.counter = 0
 
     def admit(self, birth: int, counter: int, receiver_session: int) -> Verdict:
         """Checks an envelope of the sender with this birth number."""
-        if receiver_session != self.door and (not self.former or receiver_session != self.former):
+        if receiver_session != self.session and (not self.previous_session or receiver_session != self.previous_session):
             return Verdict.UNBOUND
-        window = _kept(self.windows, (birth, receiver_session), self.most)
+        window = _touch(self.windows, (birth, receiver_session), self.max_entries)
         if window is None:
-            window = self.windows[birth, receiver_session] = Window()
-        return Verdict.GOOD if window.take(counter) else Verdict.REPLAYED
+            window = self.windows[birth, receiver_session] = ReplayWindow()
+        return Verdict.GOOD if window.accept(counter) else Verdict.REPLAYED
 
-    def turn(self, session: int) -> None:
+    def rotate_session(self, session: int) -> None:
         """Starts a new session. The previous one is accepted until the next rotation.
 
         Rotation guards against replays of envelopes whose replay window was evicted long ago.
         """
-        self.former, self.door = self.door, session
-        for key in [key for key in self.windows if key[1] not in (self.former, self.door)]:
+        self.previous_session, self.session = self.session, session
+        for key in [key for key in self.windows if key[1] not in (self.previous_session, self.session)]:
             del self.windows[key]
 
-    def learn(self, address: str, session: int) -> None:
+    def learn_session(self, address: str, session: int) -> None:
         """Stores the current session of a peer."""
-        if _kept(self.theirs, address, self.most) != session:
-            self.theirs[address] = session
+        if _touch(self.peer_sessions, address, self.max_entries) != session:
+            self.peer_sessions[address] = session
 
-    def toward(self, address: str) -> int:
+    def session_of(self, address: str) -> int:
         """Returns the session of a peer; 0 if it is unknown, which the peer answers with a challenge."""
-        return self.theirs.get(address, 0)
+        return self.peer_sessions.get(address, 0)
 
-    def next(self) -> int:
+    def next_counter(self) -> int:
         """Returns the counter of the next envelope that this process sends."""
-        self.count += 1
-        return self.count
+        self.counter += 1
+        return self.counter
 
 
-def _kept(table: OrderedDict[K, V], key: K, most: int) -> V | None:
+def _touch(table: OrderedDict[K, V], key: K, most: int) -> V | None:
     """Returns the value and marks it as the most recently used; for a missing key, makes room in a full table."""
     value = table.get(key)
     if value is not None:
@@ -105,24 +105,24 @@
     return value
 
 
-class Allowance:
+class RateLimiter:
     """Token bucket for work that any remote party can cause: `rate` a second, with bursts of the same size.
 
     Times are in microseconds.
 
-    >>> limiter = Allowance(2)
+    >>> limiter = RateLimiter(2)
     >>> [limiter.take(now) for now in (0, 1, 2, 500_002, 500_003)]
     [True, True, False, True, False]
     """
 
     def __init__(self, rate: float, now: int = 0) -> None:
-        self.rate, self.left, self.at = rate, rate, now
+        self.rate, self.tokens, self.updated_at = rate, rate, now
 
-    def take(self, now: int) -> bool:
+    def try_acquire(self, now: int) -> bool:
         """Returns whether a token was available, and takes it."""
-        self.left = min(self.rate, self.left + max(0, now - self.at) * self.rate / 1e6)
-        self.at = max(self.at, now)
-        if self.left < 1:
+        self.tokens = min(self.rate, self.tokens + max(0, now - self.updated_at) * self.rate / 1e6)
+        self.updated_at = max(self.updated_at, now)
+        if self.tokens < 1:
             return False
-        self.left -= 1
+        self.tokens -= 1
         return True
--- a/hollystage/decisions/membership/suspicion.py
+++ b/hollystage/decisions/membership/suspicion.py
@@ -15,56 +15,56 @@
     """The timeout of one suspect, in microseconds; it falls to `min_time` at `confirmations_needed` confirmations.
 
     >>> suspicion = Suspicion(0, "a", 2_000, 8_000, 3)
-    >>> suspicion.until, suspicion.confirm("a"), suspicion.confirm("b"), suspicion.until
+    >>> suspicion.expires_at, suspicion.confirm("a"), suspicion.confirm("b"), suspicion.expires_at
     (8000, False, True, 5000)
-    >>> suspicion.confirm("c"), suspicion.confirm("d"), suspicion.confirm("e"), suspicion.until
+    >>> suspicion.confirm("c"), suspicion.confirm("d"), suspicion.confirm("e"), suspicion.expires_at
     (True, True, False, 2000)
     """
 
-    __slots__ = ("begun", "least", "most", "enough", "by")
+    __slots__ = ("started_at", "min_time", "max_time", "confirmations_needed", "accusers")
 
     def __init__(self, started_at: int, accuser: str, min_time: int, max_time: int, confirmations: int) -> None:
-        self.begun, self.least, self.most, self.enough = started_at, min_time, max_time, confirmations
-        self.by = [accuser]  # the first accuser, then those that confirmed
+        self.started_at, self.min_time, self.max_time, self.confirmations_needed = started_at, min_time, max_time, confirmations
+        self.accusers = [accuser]  # the first accuser, then those that confirmed
 
     @property
-    def until(self) -> int:
+    def expires_at(self) -> int:
         """The time at which the suspect is declared lost, with the confirmations so far."""
-        if self.enough <= 0:
-            return self.begun + self.least
-        share = log(len(self.by)) / log(self.enough + 1)
-        return self.begun + max(self.least, int(self.most - (self.most - self.least) * share))
+        if self.confirmations_needed <= 0:
+            return self.started_at + self.min_time
+        share = log(len(self.accusers)) / log(self.confirmations_needed + 1)
+        return self.started_at + max(self.min_time, int(self.max_time - (self.max_time - self.min_time) * share))
 
     def confirm(self, accuser: str) -> bool:
         """Adds an accuser; returns whether it is a new one that shortens the timeout."""
-        if accuser in self.by or len(self.by) > self.enough:
+        if accuser in self.accusers or len(self.accusers) > self.confirmations_needed:
             return False
-        self.by.append(accuser)
+        self.accusers.append(accuser)
         return True
 
 
-def span(factor: float, members: int, probe_period: int) -> int:
+def min_suspicion_time(factor: float, members: int, probe_period: int) -> int:
     """Returns the minimum timeout of a suspicion, in microseconds.
 
     It grows with the logarithm of the size of the fleet, as the accusation and its refutation need that many rounds
     of gossip.
 
-    >>> [span(4, n, 500_000) for n in (2, 10, 100, 1000)]
+    >>> [min_suspicion_time(4, n, 500_000) for n in (2, 10, 100, 1000)]
     [2000000, 2000000, 4000000, 6000000]
     """
     return int(factor * max(1.0, log10(max(1, members))) * probe_period)
 
 
-class Health:
+class LocalHealth:
     """The local health score of Lifeguard: 0 is healthy; intervals and timeouts are multiplied by score + 1."""
 
     def __init__(self, max_score: int) -> None:
-        self.worst, self.score = max_score, 0
+        self.max_score, self.score = max_score, 0
 
-    def note(self, change: int) -> None:
+    def adjust(self, change: int) -> None:
         """Changes the score, within its bounds."""
-        self.score = max(0, min(self.worst, self.score + change))
+        self.score = max(0, min(self.max_score, self.score + change))
 
-    def stretch(self, duration: int) -> int:
+    def scale(self, duration: int) -> int:
         """Returns the duration, multiplied by score + 1."""
         return duration * (self.score + 1)
--- a/hollystage/decisions/stalls.py
+++ b/hollystage/decisions/stall_detector.py
@@ -2,19 +2,19 @@
 from __future__ import annotations
 
 
-class Stalls:
+class StallDetector:
     """Detects late timers. What a late process observed of others may be its own delay. Times in microseconds.
 
-    >>> stalls = Stalls(2_000)
-    >>> stalls.woke(0, 50_000), stalls.woke(51_500, 50_000), stalls.woke(200_000, 50_000)
+    >>> stalls = StallDetector(2_000)
+    >>> stalls.on_timer(0, 50_000), stalls.on_timer(51_500, 50_000), stalls.on_timer(200_000, 50_000)
     (0, 0, 98500)
     """
 
-    def __init__(self, slack: int) -> None:
-        self.slack, self.due = slack, 0
+    def __init__(self, tolerance: int) -> None:
+        self.tolerance, self.due = tolerance, 0
 
-    def woke(self, now: int, next_in: int) -> int:
+    def on_timer(self, now: int, next_in: int) -> int:
         """Returns how late the timer fired; 0 within the tolerance. `next_in`: time until the next timer."""
         late = now - self.due if self.due else 0
         self.due = now + next_in
-        return late if late > self.slack else 0
+        return late if late > self.tolerance else 0
--- a/hollystage/fleet/agent.py
+++ b/hollystage/fleet/agent.py
@@ -17,31 +17,54 @@
 
 import msgspec
 
-from ..decisions.membership.doors import Allowance, Doors, Verdict
 from ..decisions.membership.members import Members
-from ..decisions.membership.records import Belief, Digest, News, Record, Stage, View
-from ..decisions.membership.terms import Terms
-from ..decisions.membership.words import Ack, Answer, Ask, Event, Meet, Nack, Opening, Ping, Rest
-from .codec import DATAGRAM, FRAME, Challenge, Codec, Envelope, Fetch, Guest, Lent, Refused, Show, Shown, Word
-from .links import STREAM_S, Cut, Frames, Links
-
-AT_ONCE = 64  # datagrams processed before due work is checked
-LOOK = 50_000  # between updates of the published status; upper bound of the wait for timers set by other threads
-TURN = 600_000_000  # after this time the process takes a new session number
-KEPT, STREAMS = 64, 4  # datagrams kept for a resend under another session number; concurrent inbound streams
-AGAIN_S = 1.0  # between attempts to bind the address
-PROVOKED = 200.0  # bounds the replies that replayed datagrams can provoke
-EVER = 1 << 62  # a time that is never reached
-BAD = {"suspect", "lost", "twin", "ousted", "alone", "raised", "slept", "accused"}
-
-
-class Tally(Protocol):
+from ..decisions.membership.messages import (
+    Ack,
+    Event,
+    Nack,
+    Ping,
+    PingRequest,
+    StartSync,
+    SyncPush,
+    SyncRequest,
+    SyncResponse,
+)
+from ..decisions.membership.parameters import Parameters
+from ..decisions.membership.records import Belief, MemberStatus, Record, Stage, Update, View
+from ..decisions.membership.replay import RateLimiter, ReplayGuard, Verdict
+from .codec import (
+    MAX_DATAGRAM_BYTES,
+    MAX_FRAME_BYTES,
+    Challenge,
+    Codec,
+    CoordinationMessage,
+    DecodeFailure,
+    Envelope,
+    FetchReply,
+    FetchRequest,
+    Message,
+    TableReply,
+    TableRequest,
+)
+from .sockets import STREAM_TIMEOUT_S, FramedStream, PeerSockets, StreamError
+
+DATAGRAM_BATCH = 64  # datagrams processed before due work is checked
+POLL_INTERVAL_US = 50_000  # between updates of the published status; upper bound of the wait for timers set by other threads
+SESSION_LIFETIME_US = 600_000_000  # after this time the process takes a new session number
+RESEND_BUFFER, MAX_STREAMS = 64, 4  # datagrams kept for a resend under another session number; concurrent inbound streams
+BIND_RETRY_S = 1.0  # between attempts to bind the address
+MAX_CHALLENGES_PER_S = 200.0  # bounds the replies that replayed datagrams can provoke
+FOREVER = 1 << 62  # a time that is never reached
+WARNING_EVENTS = {"suspect", "lost", "twin", "ousted", "alone", "raised", "slept", "accused"}
+
+
+class CounterSink(Protocol):
     """Increments named counters."""
 
     def add(self, name: str, amount: int = 1) -> None: ...
 
 
-class Tenant(Protocol):
+class MessageHandler(Protocol):
     """Handles the messages that share the agent's sockets with membership: those of leases and budgets.
 
     All methods are called under `Agent.lock` and must not block. The lists hold pairs of an address and a message to
@@ -50,11 +73,11 @@
 
     next_at: int
 
-    def heard(self, sender: Record, word: Guest) -> list[tuple[str, Guest]]: ...
-    def tick(self, members: Members) -> list[tuple[str, Guest]]: ...
-    def leave(self, members: Members) -> list[tuple[str, Guest]]: ...
-    def shown(self, what: str) -> dict[str, Any] | None: ...
-    def figures(self) -> dict[str, float]: ...
+    def receive(self, sender: Record, message: CoordinationMessage) -> list[tuple[str, CoordinationMessage]]: ...
+    def tick(self, members: Members) -> list[tuple[str, CoordinationMessage]]: ...
+    def leave(self, members: Members) -> list[tuple[str, CoordinationMessage]]: ...
+    def table(self, name: str) -> dict[str, Any] | None: ...
+    def metrics(self) -> dict[str, float]: ...
 
 
 class Agent:
@@ -65,357 +88,357 @@
     """
 
     def __init__(self, name: str, zone: str, bind: str, advertise: str, configured_peers: list[str], key: bytes,
-                 cluster: str, parameters: Terms, seed: int, boot: int, read_status: Callable[[], Digest],
-                 save_boot: Callable[[int], None], clock: Callable[[], int], counters: Tally, log: Any) -> None:
-        self.links, self.codec, self.clock, self.digest = Links(bind), Codec(key, cluster), clock, read_status
-        self.keep, self.boot = save_boot, boot
+                 cluster: str, parameters: Parameters, seed: int, boot: int, read_status: Callable[[], MemberStatus],
+                 save_boot: Callable[[int], None], clock: Callable[[], int], counters: CounterSink, log: Any) -> None:
+        self.sockets, self.codec, self.clock, self.read_status = PeerSockets(bind), Codec(key, cluster), clock, read_status
+        self.save_boot, self.boot = save_boot, boot
         self.counters, self.log, self.bind = counters, log, bind
         now = clock()
         me = Record(name, zone, advertise, boot, secrets.randbits(62))
         self.members = Members(me, configured_peers, parameters, seed, now)
-        self.doors, self.turned_at = Doors(1 + secrets.randbits(60)), now
+        self.replay_guard, self.session_rotated_at = ReplayGuard(1 + secrets.randbits(60)), now
         self.lock = threading.Lock()
         self.view: View = self.members.view(now)
-        self.tenant: Tenant | None = None  # set if the plan has budgets
-        self.lenders: dict[str, Callable[[], bytes]] = {}  # functions that supply what peers may fetch, by name
-        self.out: list[tuple[str, bytes]] = []  # filled under the lock, sent without it
-        self.sent: OrderedDict[int, tuple[str, Word, list[News]]] = OrderedDict()  # by envelope counter, for resends
-        self.meets: Queue[str] = Queue(8)
-        self.streams = threading.BoundedSemaphore(STREAMS)
-        self.provoked = Allowance(PROVOKED, now)
+        self.handler: MessageHandler | None = None  # set if the plan has budgets
+        self.fetch_providers: dict[str, Callable[[], bytes]] = {}  # functions that supply what peers may fetch, by name
+        self.outbox: list[tuple[str, bytes]] = []  # filled under the lock, sent without it
+        self.recently_sent: OrderedDict[int, tuple[str, Message, list[Update]]] = OrderedDict()  # by envelope counter, for resends
+        self.sync_queue: Queue[str] = Queue(8)
+        self.stream_slots = threading.BoundedSemaphore(MAX_STREAMS)
+        self.challenge_limiter = RateLimiter(MAX_CHALLENGES_PER_S, now)
         # other threads set timers too: a longer wait for them would be taken for a stall of the process
-        self.look = min(LOOK, parameters.timeout // 4)
-        self.looked_at = now - LOOK
-        self.opened, self.stopped = threading.Event(), False
+        self.poll_interval = min(POLL_INTERVAL_US, parameters.ack_timeout // 4)
+        self.polled_at = now - POLL_INTERVAL_US
+        self.sockets_open, self.stopped = threading.Event(), False
 
     # Threads
 
-    def talk_forever(self) -> None:
+    def run_datagrams(self) -> None:
         """Receives datagrams, does the work that is due and sends datagrams, until the agent is stopped."""
-        self._open()
+        self._open_sockets()
         with self.lock:
-            self.members.begin(self.clock())
+            self.members.start(self.clock())
         while not self.stopped:
-            next_at = min(self.members.next_at, self.tenant.next_at if self.tenant is not None else EVER)
-            data = self.links.receive(max(0.0, min(next_at - self.clock(), self.look)) / 1e6)
+            next_at = min(self.members.next_at, self.handler.next_at if self.handler is not None else FOREVER)
+            data = self.sockets.receive(max(0.0, min(next_at - self.clock(), self.poll_interval)) / 1e6)
             with self.lock:
                 now, processed = self.clock(), 0
                 while data is not None:
-                    self._take(data, now)
+                    self._process_datagram(data, now)
                     processed += 1
-                    data = self.links.receive(0) if processed < AT_ONCE else None
-                self._due(now)
-                outgoing = self._ready(now)
+                    data = self.sockets.receive(0) if processed < DATAGRAM_BATCH else None
+                self._run_due(now)
+                outgoing = self._take_outgoing(now)
             if self.members.me.boot != self.boot:
                 self.boot = self.members.me.boot
-                self.keep(self.boot)
+                self.save_boot(self.boot)
             self._send(outgoing)
-        if self.opened.is_set():
-            self.links.datagrams.close()
+        if self.sockets_open.is_set():
+            self.sockets.datagram_socket.close()
 
-    def listen_forever(self) -> None:
+    def accept_streams(self) -> None:
         """Accepts streams and serves each in its own thread; closes those beyond `MAX_STREAMS` at once."""
-        self.opened.wait()
+        self.sockets_open.wait()
         while not self.stopped:
             try:
-                sock = self.links.accept()
+                sock = self.sockets.accept()
             except OSError:
                 if not self.stopped:
                     time.sleep(0.05)
                 continue
-            if not self.streams.acquire(blocking=False):
+            if not self.stream_slots.acquire(blocking=False):
                 self.counters.add("fleet.streams_refused")
                 sock.close()
                 continue
-            stream = Frames(sock, time.monotonic() + STREAM_S)
-            threading.Thread(target=self._guarded, args=(stream,), daemon=True).start()
+            stream = FramedStream(sock, time.monotonic() + STREAM_TIMEOUT_S)
+            threading.Thread(target=self._handle_stream, args=(stream,), daemon=True).start()
 
-    def meet_forever(self) -> None:
+    def run_syncs(self) -> None:
         """Runs the full syncs that the membership module requests, one after the other."""
-        self.opened.wait()
+        self.sockets_open.wait()
         while not self.stopped:
             with suppress(Empty):
-                self._meet(self.meets.get(timeout=1.0))
+                self._sync_with(self.sync_queue.get(timeout=1.0))
 
     def leave(self) -> None:
         """Announces to the peers that this process leaves the fleet."""
         with self.lock:
-            if self.tenant is not None:
-                self._post(self.tenant.leave(self.members))
+            if self.handler is not None:
+                self._enqueue_all(self.handler.leave(self.members))
             self.members.leave(self.clock())
-            outgoing = self._ready(self.clock())
-        if self.opened.is_set():
+            outgoing = self._take_outgoing(self.clock())
+        if self.sockets_open.is_set():
             self._send(outgoing)
 
     def stop(self) -> None:
         """Ends the threads and closes the listener."""
         self.stopped = True
-        if self.opened.is_set():
-            self.links.hang_up()
-        self.opened.set()
+        if self.sockets_open.is_set():
+            self.sockets.close_listener()
+        self.sockets_open.set()
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """Gauges and counters of membership and of the message handler."""
         with self.lock:
             members = self.members
             return {"fleet.living": len(members.living), "fleet.suspects": len(members.suspects),
-                    "fleet.gone": len(members.gone), "fleet.health": members.health.score,
+                    "fleet.gone": len(members.gone), "fleet.health": members.local_health.score,
                     **{f"fleet.{name}": count for name, count in sorted(members.counts.items())},
-                    **(self.tenant.figures() if self.tenant is not None else {})}
+                    **(self.handler.metrics() if self.handler is not None else {})}
 
     # Datagrams
 
-    def _open(self) -> None:
+    def _open_sockets(self) -> None:
         """Opens the sockets; retries until that succeeds or the agent is stopped, and logs the first failure only."""
         reported = False
         while not self.stopped:
             try:
-                self.links.open()
+                self.sockets.open()
             except OSError as error:
                 if not reported:
                     self.log.error("cannot bind the address fleet.bind; serving without peers, retrying",
                                    bind=self.bind, why=error.strerror)
                 reported = True
                 self.counters.add("fleet.not_bound")
-                time.sleep(AGAIN_S)
+                time.sleep(BIND_RETRY_S)
                 continue
-            self.opened.set()
+            self.sockets_open.set()
             if self.stopped:
-                self.links.hang_up()
+                self.links.close_listener()
             return
 
-    def _take(self, data: bytes, now: int) -> None:
+    def _process_datagram(self, data: bytes, now: int) -> None:
         """Counts a datagram and handles it if it is well-formed, authentic and not replayed.
 
         A datagram that names another session of this process is answered with a challenge, at a bounded rate.
         """
-        envelope, verdict = self._judged(data, DATAGRAM)
+        envelope, verdict = self._decode_and_verify(data, MAX_DATAGRAM_BYTES)
         if envelope is None:
             return
         if verdict is not Verdict.GOOD:
-            if verdict is Verdict.UNBOUND and self.provoked.take(now):
-                address = envelope.me.address
-                self.out.append((address, self._pack(address, Challenge(envelope.count), [], envelope.door)))
+            if verdict is Verdict.UNBOUND and self.challenge_limiter.try_acquire(now):
+                address = envelope.sender.address
+                self.outbox.append((address, self._pack(address, Challenge(envelope.counter), [], envelope.session)))
             return
-        match envelope.word:
+        match envelope.message:
             case Challenge():
-                rejected = self.sent.pop(envelope.word.count, None)
+                rejected = self.recently_sent.pop(envelope.message.counter, None)
                 if rejected is not None:
-                    self.doors.learn(rejected[0], envelope.door)
-                    self.out.append((rejected[0], self._pack(*rejected)))
-            case Opening() | Answer() | Rest() | Show() | Shown() | Fetch() | Lent():
+                    self.replay_guard.learn_session(rejected[0], envelope.session)
+                    self.outbox.append((rejected[0], self._pack(*rejected)))
+            case SyncRequest() | SyncResponse() | SyncPush() | TableRequest() | TableReply() | FetchRequest() | FetchReply():
                 self.counters.add("fleet.refused.misplaced")
-            case Ping() | Ack() | Ask() | Nack():
-                self.members.heard(envelope.me, envelope.word, envelope.news, now)
-            case message if self.tenant is not None:
-                self._post(self.tenant.heard(envelope.me, message))
+            case Ping() | Ack() | PingRequest() | Nack():
+                self.members.receive(envelope.sender, envelope.message, envelope.updates, now)
+            case message if self.handler is not None:
+                self._enqueue_all(self.handler.receive(envelope.sender, message))
             case _:
                 self.counters.add("fleet.refused.misplaced")
 
-    def _post(self, messages: list[tuple[str, Guest]]) -> None:
+    def _enqueue_all(self, messages: list[tuple[str, CoordinationMessage]]) -> None:
         """Enqueues the messages of the message handler, which carry no gossip."""
         for address, message in messages:
-            self._sent(address, message, [])
+            self._enqueue(address, message, [])
 
-    def _sent(self, address: str, message: Word, updates: list[News]) -> None:
+    def _enqueue(self, address: str, message: Message, updates: list[Update]) -> None:
         """Enqueues a datagram and keeps it for a while: the receiver may answer that its session is another."""
-        self.out.append((address, self._pack(address, message, updates)))
-        self.sent[self.doors.count] = address, message, updates
-        if len(self.sent) > KEPT:
-            self.sent.popitem(last=False)
+        self.outbox.append((address, self._pack(address, message, updates)))
+        self.recently_sent[self.replay_guard.counter] = address, message, updates
+        if len(self.recently_sent) > RESEND_BUFFER:
+            self.recently_sent.popitem(last=False)
 
-    def _judged(self, data: bytes, max_size: int) -> tuple[Envelope | None, Verdict | None]:
+    def _decode_and_verify(self, data: bytes, max_size: int) -> tuple[Envelope | None, Verdict | None]:
         """Decodes and verifies received bytes. Called under the lock.
 
         The envelope is None if the bytes cannot be decoded; its content may be used only if the verdict is GOOD.
         """
         envelope = self.codec.unpack(data, max_size)
-        if isinstance(envelope, Refused):
+        if isinstance(envelope, DecodeFailure):
             self.counters.add(f"fleet.refused.{envelope.value}")
             return None, None
-        verdict = self.doors.admit(envelope.me.birth, envelope.count, envelope.to)
+        verdict = self.replay_guard.admit(envelope.sender.birth, envelope.counter, envelope.receiver_session)
         if verdict is Verdict.GOOD:
-            self.doors.learn(envelope.me.address, envelope.door)
+            self.replay_guard.learn_session(envelope.sender.address, envelope.session)
             self.counters.add("fleet.in")
         else:
             self.counters.add(f"fleet.refused.{verdict.value}")
         return envelope, verdict
 
-    def _pack(self, address: str, message: Word, updates: list[News], receiver_session: int | None = None) -> bytes:
+    def _pack(self, address: str, message: Message, updates: list[Update], receiver_session: int | None = None) -> bytes:
         return self.codec.pack(Envelope(
-            self.doors.door, self.doors.toward(address) if receiver_session is None else receiver_session,
-            self.doors.next(), self.members.me, message, updates))
+            self.replay_guard.session, self.replay_guard.session_of(address) if receiver_session is None else receiver_session,
+            self.replay_guard.next_counter(), self.members.me, message, updates))
 
-    def _due(self, now: int) -> None:
+    def _run_due(self, now: int) -> None:
         """Does the work that is due: the published status, the session number, and all timers."""
-        if now - self.looked_at >= LOOK:
-            self.looked_at = now
-            self.members.say(self.digest(), now)
-            if now - self.turned_at >= TURN:
-                self.turned_at = now
-                self.doors.turn(1 + secrets.randbits(60))
+        if now - self.polled_at >= POLL_INTERVAL_US:
+            self.polled_at = now
+            self.members.set_status(self.read_status(), now)
+            if now - self.session_rotated_at >= SESSION_LIFETIME_US:
+                self.session_rotated_at = now
+                self.replay_guard.rotate_session(1 + secrets.randbits(60))
         if now >= self.members.next_at:
             self.members.tick(now)
-        if self.tenant is not None:
-            self._post(self.tenant.tick(self.members))
+        if self.handler is not None:
+            self._enqueue_all(self.handler.tick(self.members))
 
-    def _ready(self, now: int) -> list[tuple[str, bytes]]:
+    def _take_outgoing(self, now: int) -> list[tuple[str, bytes]]:
         """Takes the datagrams to be sent after the lock is released. Called under the lock.
 
         Also queues requested syncs, publishes a changed view and logs events.
         """
-        for action in self.members.take():
-            if isinstance(action, Meet):
+        for action in self.members.take_actions():
+            if isinstance(action, StartSync):
                 with suppress(Full):
-                    self.meets.put_nowait(action.address)
+                    self.sync_queue.put_nowait(action.address)
                 continue
-            self._sent(*action)
-        if self.members.changed:
+            self._enqueue(*action)
+        if self.members.view_changed:
             self.view = self.members.view(now)
-        for event in self.members.happened():
-            self.tell(event)
-        outgoing, self.out = self.out, []
+        for event in self.members.take_events():
+            self.log_event(event)
+        outgoing, self.outbox = self.outbox, []
         return outgoing
 
-    def tell(self, event: Event) -> None:
+    def log_event(self, event: Event) -> None:
         """Writes a membership event to the log."""
-        log = self.log.warning if event.what in BAD else self.log.info
-        log(f"peer {event.what}", who=event.who, **({"detail": event.detail} if event.detail else {}))
+        log = self.log.warning if event.kind in WARNING_EVENTS else self.log.info
+        log(f"peer {event.kind}", who=event.member, **({"detail": event.detail} if event.detail else {}))
 
     def _send(self, outgoing: list[tuple[str, bytes]]) -> None:
         for address, data in outgoing:
-            self.counters.add("fleet.out" if self.links.send(address, data) else "fleet.not_sent")
+            self.counters.add("fleet.out" if self.sockets.send(address, data) else "fleet.not_sent")
 
     # Streams
 
-    def _guarded(self, stream: Frames) -> None:
+    def _handle_stream(self, stream: FramedStream) -> None:
         """Serves an inbound stream, closes it and frees its slot."""
         try:
-            self._serve(stream)
-        except (Cut, OSError):
+            self._serve_stream(stream)
+        except (StreamError, OSError):
             self.counters.add("fleet.streams_cut")
         finally:
             stream.close()
-            self.streams.release()
+            self.stream_slots.release()
 
-    def _serve(self, stream: Frames) -> None:
+    def _serve_stream(self, stream: FramedStream) -> None:
         """Answers the one request of an inbound stream."""
-        envelope = self._frame(stream, True)
+        envelope = self._read_envelope(stream, True)
         if envelope is None:
             return
-        match envelope.word:
-            case Opening():
+        match envelope.message:
+            case SyncRequest():
                 with self.lock:
-                    response = self.members.answering(envelope.word, self.clock())
+                    response = self.members.handle_sync_request(envelope.message, self.clock())
                 self._reply(stream, envelope, response)
-                push = self._frame(stream, False)
-                if push is not None and isinstance(push.word, Rest):
+                push = self._read_envelope(stream, False)
+                if push is not None and isinstance(push.message, SyncPush):
                     with self.lock:
-                        self.members.rested(push.word, self.clock())
-                        outgoing = self._ready(self.clock())
+                        self.members.handle_sync_push(push.message, self.clock())
+                        outgoing = self._take_outgoing(self.clock())
                     self._send(outgoing)
                     self.counters.add("fleet.exchanges")
-            case Show():
-                self._reply(stream, envelope, Shown(self.shown(envelope.word.what)))
-            case Fetch():
-                provider = self.lenders.get(envelope.word.what)
-                self._reply(stream, envelope, Lent(provider() if provider is not None else b""))
+            case TableRequest():
+                self._reply(stream, envelope, TableReply(self.table_json(envelope.message.table)))
+            case FetchRequest():
+                provider = self.fetch_providers.get(envelope.message.name)
+                self._reply(stream, envelope, FetchReply(provider() if provider is not None else b""))
             case _:
                 self.counters.add("fleet.refused.misplaced")
 
-    def _meet(self, address: str) -> None:
+    def _sync_with(self, address: str) -> None:
         """Runs a full sync with the process at the address; a failed one is reported to membership."""
         try:
-            stream = self.links.connect(address)
+            stream = self.sockets.connect(address)
         except (OSError, OverflowError):
             stream = None
         succeeded = False
         if stream is not None:
             try:
-                succeeded = self._exchange(stream, address)
-            except (Cut, OSError):
+                succeeded = self._run_sync(stream, address)
+            except (StreamError, OSError):
                 self.counters.add("fleet.streams_cut")
             finally:
                 stream.close()
         with self.lock:
             if not succeeded:
-                self.members.missed(address, self.clock())
-            outgoing = self._ready(self.clock())
+                self.members.sync_failed(address, self.clock())
+            outgoing = self._take_outgoing(self.clock())
         self._send(outgoing)
 
-    def _exchange(self, stream: Frames, address: str) -> bool:
+    def _run_sync(self, stream: FramedStream, address: str) -> bool:
         """Whether the peer answered the sync request; if so, its records are merged and ours are sent to it."""
-        reply = self._asked(stream, address, self.members.opening)
-        if reply is None or not isinstance(reply.word, Answer):
+        reply = self._round_trip(stream, address, self.members.make_sync_request)
+        if reply is None or not isinstance(reply.message, SyncResponse):
             return False
         with self.lock:
-            push = self.members.answered(reply.word, self.clock())
-            data = self._pack(address, push, [], reply.door)
+            push = self.members.handle_sync_response(reply.message, self.clock())
+            data = self._pack(address, push, [], reply.session)
         stream.send(data)
         return True
 
-    def _asked(self, stream: Frames, address: str, make_message: Callable[[], Word]) -> Envelope | None:
+    def _round_trip(self, stream: FramedStream, address: str, make_message: Callable[[], Message]) -> Envelope | None:
         """The peer's reply. If the first attempt names a wrong session, the peer's challenge gives the right one."""
         for _ in range(2):
             with self.lock:
                 data = self._pack(address, make_message(), [])
             stream.send(data)
-            reply = self._frame(stream, False)
-            if reply is None or not isinstance(reply.word, Challenge):
+            reply = self._read_envelope(stream, False)
+            if reply is None or not isinstance(reply.message, Challenge):
                 return reply
             with self.lock:
-                self.doors.learn(address, reply.door)
+                self.replay_guard.learn_session(address, reply.session)
         return None
 
-    def request(self, address: str, message: Word) -> Word | None:
+    def request(self, address: str, message: Message) -> Message | None:
         """Sends one request to a peer and returns its reply, None if there is none in time. Blocks the caller."""
         try:
-            stream = self.links.connect(address)
+            stream = self.sockets.connect(address)
         except (OSError, OverflowError):
             return None
         try:
-            reply = self._asked(stream, address, lambda: message)
-            return reply.word if reply is not None else None
-        except (Cut, OSError):
+            reply = self._round_trip(stream, address, lambda: message)
+            return reply.message if reply is not None else None
+        except (StreamError, OSError):
             self.counters.add("fleet.streams_cut")
             return None
         finally:
             stream.close()
 
-    def _frame(self, stream: Frames, challenge: bool) -> Envelope | None:
+    def _read_envelope(self, stream: FramedStream, challenge: bool) -> Envelope | None:
         """The next valid envelope of a stream, or None.
 
         With `challenge`, a sender that names another session is answered with a challenge and may send once more.
         """
         while True:
-            data = stream.read(FRAME)
+            data = stream.read(MAX_FRAME_BYTES)
             with self.lock:
-                envelope, verdict = self._judged(data, FRAME)
+                envelope, verdict = self._decode_and_verify(data, MAX_FRAME_BYTES)
             if envelope is None or verdict is Verdict.GOOD:
                 return envelope
             if verdict is not Verdict.UNBOUND or not challenge:
                 return None
-            self._reply(stream, envelope, Challenge(envelope.count))
+            self._reply(stream, envelope, Challenge(envelope.counter))
             challenge = False
 
-    def _reply(self, stream: Frames, request: Envelope, message: Word) -> None:
+    def _reply(self, stream: FramedStream, request: Envelope, message: Message) -> None:
         with self.lock:
-            data = self._pack("", message, [], request.door)
+            data = self._pack("", message, [], request.session)
         stream.send(data)
 
-    def shown(self, name: str) -> bytes:
+    def table_json(self, name: str) -> bytes:
         """The table of that name as JSON, for an operator."""
         view, now = self.view, self.clock()
         if name != "members":
             with self.lock:
-                table = self.tenant.shown(name) if self.tenant is not None else None
+                table = self.handler.table(name) if self.handler is not None else None
             if table is not None:
                 return msgspec.json.encode(table)
             return msgspec.json.encode({"fault": f"there is no table {name!r}"})
         rows = [{"name": record.name, "zone": record.zone, "address": record.address, "boot": record.boot,
                  "incarnation": record.incarnation, "belief": Belief(record.belief).name.lower(),
-                 "stage": Stage(record.digest.stage).name.lower(), "plan": f"{record.digest.plan:08x}",
-                 "generations": record.digest.generations, "age_s": record.digest.age}
+                 "stage": Stage(record.status.stage).name.lower(), "plan": f"{record.status.plan:08x}",
+                 "generations": record.status.generations, "age_s": record.status.age}
                 for record in sorted([view.me, *view.others.values()], key=lambda record: record.name)]
         return msgspec.json.encode({"me": view.me.name, "fresh": view.fresh, "ousted": view.ousted,
-                                    "view_age_ms": max(0, now - view.at) // 1000, "members": rows})
+                                    "view_age_ms": max(0, now - view.taken_at) // 1000, "members": rows})
--- a/hollystage/fleet/ask.py
+++ b/hollystage/fleet/ask.py
@@ -6,13 +6,13 @@
 import time
 
 from ..decisions.membership.records import Record
-from .codec import FRAME, Challenge, Codec, Envelope, Refused, Show, Shown
-from .links import STREAM_S, Cut, Frames, address_of
+from .codec import MAX_FRAME_BYTES, Challenge, Codec, DecodeFailure, Envelope, TableReply, TableRequest
+from .sockets import STREAM_TIMEOUT_S, FramedStream, StreamError, parse_address
 
-ASKER = "-"  # never the name of a member
+ASKER_NAME = "-"  # never the name of a member
 
 
-class NoAnswer(Exception):
+class QueryError(Exception):
     """There was no valid reply; the message gives the reason."""
 
 
@@ -23,25 +23,25 @@
         QueryError: nothing can be reached there, or it has another key or cluster name.
     """
     codec, birth, session = Codec(key, cluster), secrets.randbits(62), 1 + secrets.randbits(60)
-    sender = Record(ASKER, "", "0.0.0.0:0", 0, birth)
+    sender = Record(ASKER_NAME, "", "0.0.0.0:0", 0, birth)
     try:
-        stream = Frames(socket.create_connection(address_of(address), 2.0), time.monotonic() + STREAM_S)
+        stream = FramedStream(socket.create_connection(parse_address(address), 2.0), time.monotonic() + STREAM_TIMEOUT_S)
     except (OSError, ValueError, OverflowError) as error:
-        raise NoAnswer(f"cannot connect ({error})") from error
+        raise QueryError(f"cannot connect ({error})") from error
     receiver_session = 0
     try:
         for counter in (1, 2):  # the first request names no session; the challenge gives the one for the second
-            stream.send(codec.pack(Envelope(session, receiver_session, counter, sender, Show(table, request))))
-            reply = codec.unpack(stream.read(FRAME), FRAME)
-            if isinstance(reply, Refused) or reply.to != session:
-                raise NoAnswer("the reply is not authentic")
-            if isinstance(reply.word, Shown):
-                return reply.word.body
-            if not isinstance(reply.word, Challenge):
+            stream.send(codec.pack(Envelope(session, receiver_session, counter, sender, TableRequest(table, request))))
+            reply = codec.unpack(stream.read(MAX_FRAME_BYTES), MAX_FRAME_BYTES)
+            if isinstance(reply, DecodeFailure) or reply.receiver_session != session:
+                raise QueryError("the reply is not authentic")
+            if isinstance(reply.message, TableReply):
+                return reply.message.body
+            if not isinstance(reply.message, Challenge):
                 break
-            receiver_session = reply.door
-    except (Cut, OSError) as error:
-        raise NoAnswer("the connection ended: another key, another cluster, or not an instance") from error
+            receiver_session = reply.session
+    except (StreamError, OSError) as error:
+        raise QueryError("the connection ended: another key, another cluster, or not an instance") from error
     finally:
         stream.close()
-    raise NoAnswer("the instance sent no table")
+    raise QueryError("the instance sent no table")
--- a/hollystage/fleet/treasury.py
+++ b/hollystage/fleet/budget_endpoint.py
@@ -8,91 +8,91 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..decisions.budgets.holding import Steps
-from ..decisions.budgets.office import Office
-from ..decisions.budgets.share import Use
-from ..decisions.budgets.words import Message
-from ..decisions.leases.words import Who
+from ..decisions.budgets.allocation import Steps
+from ..decisions.budgets.claimant import Usage
+from ..decisions.budgets.messages import Outgoing
+from ..decisions.budgets.participant import Participant
+from ..decisions.leases.messages import ProcessId
 from ..decisions.membership.members import Members
 from ..decisions.membership.records import Record
-from .codec import Guest
+from .codec import CoordinationMessage
 
-LOOK = 20_000  # between reports of what is in use
+POLL_INTERVAL_US = 20_000  # between reports of what is in use
 
 
-class Treasury:
+class BudgetEndpoint:
     """Handles the lease and budget messages of this process.
 
     `steps` gives the units that may be used, by budget and over time; `uses` what the decision module uses of them.
     `clock` (microseconds) is read for each message: an answer under a lease that has just ended must not be sent.
     """
 
-    def __init__(self, office: Office, clock: Callable[[], int]) -> None:
-        self.office, self.clock = office, clock
-        self.uses: dict[str, Use] = {}
+    def __init__(self, participant: Participant, clock: Callable[[], int]) -> None:
+        self.participant, self.clock = participant, clock
+        self.uses: dict[str, Usage] = {}
         self.steps: dict[str, Steps] = {}
         self.next_at = 0
         self.addresses: dict[str, str] = {}
         self._publish(clock())
 
-    def heard(self, sender: Record, word: Guest) -> list[tuple[str, Guest]]:
+    def receive(self, sender: Record, message: CoordinationMessage) -> list[tuple[str, CoordinationMessage]]:
         """Handles a message; returns messages to be sent, with their addresses."""
         now = self.clock()
         self.addresses[sender.name] = sender.address
-        self._look()
-        outgoing = self.office.heard(Who(sender.name, sender.birth), word, now)
+        self._report_usage()
+        outgoing = self.participant.receive(ProcessId(sender.name, sender.birth), message, now)
         self._publish(now)
-        return self._addressed(outgoing)
+        return self._resolve_addresses(outgoing)
 
-    def tick(self, members: Members) -> list[tuple[str, Guest]]:
+    def tick(self, members: Members) -> list[tuple[str, CoordinationMessage]]:
         """Does the work that is due; returns messages to be sent, with their addresses."""
         now = self.clock()
         if now < self.next_at:
             return []
-        self._look()
-        self.office.share.barred(members.ousted)
+        self._report_usage()
+        self.participant.claimant.set_suspended(members.ousted)
         self.addresses = {name: record.address for name, record in members.records.items()}
-        outgoing = self.office.tick(members.living, now)
+        outgoing = self.participant.tick(members.living, now)
         self._publish(now)
-        self.next_at = min(now + LOOK, max(now + 1_000, self.office.next_at))
-        return self._addressed(outgoing)
+        self.next_at = min(now + POLL_INTERVAL_US, max(now + 1_000, self.participant.next_at))
+        return self._resolve_addresses(outgoing)
 
-    def leave(self, members: Members) -> list[tuple[str, Guest]]:
+    def leave(self, members: Members) -> list[tuple[str, CoordinationMessage]]:
         """Releases the allocator's lease; units stay in use until the process ends. Returns messages to be sent."""
         self.addresses = {name: record.address for name, record in members.records.items()}
-        return self._addressed(self.office.leave(self.clock()))
+        return self._resolve_addresses(self.participant.leave(self.clock()))
 
-    def _look(self) -> None:
+    def _report_usage(self) -> None:
         for name, usage in self.uses.items():
-            self.office.share.used(name, usage)
+            self.participant.claimant.report_usage(name, usage)
 
     def _publish(self, now: int) -> None:
-        self.steps = {name: allocation.steps(now) for name, allocation in self.office.share.holdings.items()}
+        self.steps = {name: allocation.steps(now) for name, allocation in self.participant.claimant.allocations.items()}
 
-    def _addressed(self, messages: list[Message]) -> list[tuple[str, Guest]]:
+    def _resolve_addresses(self, messages: list[Outgoing]) -> list[tuple[str, CoordinationMessage]]:
         """Replaces names by addresses; drops messages to processes of unknown address, which are repeated later."""
         return [(self.addresses[recipient], payload) for recipient, payload in messages
                 if recipient in self.addresses]
 
-    def shown(self, what: str) -> dict[str, Any] | None:
+    def table(self, name: str) -> dict[str, Any] | None:
         """The table `budgets` or, on a voter, `leases`, for an operator; None for any other name."""
-        now, participant = self.clock(), self.office
-        if what == "budgets":
-            return {"me": participant.me.name, "divider": participant.share.divider, "epoch": participant.share.epoch,
-                    "divides": participant.divider is not None,
+        now, participant = self.clock(), self.participant
+        if name == "budgets":
+            return {"me": participant.me.name, "divider": participant.claimant.allocator_name, "epoch": participant.claimant.epoch,
+                    "divides": participant.allocator is not None,
                     "budgets": [{"name": name, "part": allocation.own(now), "usable": allocation.usable(now),
-                                 "held": allocation.held(now), "using": allocation.using, "lent": allocation.lends(now),
-                                 "borrowed": allocation.borrows(now), "floor": allocation.floor(now),
-                                 "left_ms": max(0, allocation.ends - now) // 1000}
-                                for name, allocation in participant.share.holdings.items()],
-                    "counts": participant.share.counts}
-        if what == "leases" and participant.booth is not None:
+                                 "held": allocation.committed(now), "using": allocation.in_use, "lent": allocation.lent_units(now),
+                                 "borrowed": allocation.borrowed_units(now), "floor": allocation.floor(now),
+                                 "left_ms": max(0, allocation.granted_until - now) // 1000}
+                                for name, allocation in participant.claimant.allocations.items()],
+                    "counts": participant.claimant.counts}
+        if name == "leases" and participant.voter_table is not None:
             return {"me": participant.me.name, "leases": [
                 {"name": name, "holder": holder.name if (holder := voter.holder(now)) is not None else None,
                  "number": voter.granted[0] if voter.granted is not None else None,
-                 "left_ms": max(0, voter.until - now) // 1000} for name, voter in participant.booth.voters.items()]}
+                 "left_ms": max(0, voter.granted_until - now) // 1000} for name, voter in participant.voter_table.voters.items()]}
         return None
 
-    def figures(self) -> dict[str, float]:
+    def metrics(self) -> dict[str, float]:
         """Gauges of all budgets."""
-        return self.office.figures(self.clock())
+        return self.participant.metrics(self.clock())
--- a/hollystage/fleet/codec.py
+++ b/hollystage/fleet/codec.py
@@ -13,54 +13,54 @@
 import msgspec
 from blake3 import blake3
 
-from ..decisions.budgets import words as budgets
-from ..decisions.leases import words as leases
-from ..decisions.membership.records import News, Record
-from ..decisions.membership.words import Ack, Answer, Ask, Nack, Opening, Ping, Rest
+from ..decisions.budgets import messages as budgets
+from ..decisions.leases import messages as leases
+from ..decisions.membership.messages import Ack, Nack, Ping, PingRequest, SyncPush, SyncRequest, SyncResponse
+from ..decisions.membership.records import Record, Update
 
 MAGIC, VERSION = b"hy", 1
-HASH = 16
-HEAD = len(MAGIC) + 1 + 4 + HASH
-DATAGRAM = 1_200  # fits into one packet of any common network, including tunnels
-FRAME = 4 << 20
-CONTEXT = "hollystage fleet 2026-12 "
+HASH_BYTES = 16
+HEADER_BYTES = len(MAGIC) + 1 + 4 + HASH_BYTES
+MAX_DATAGRAM_BYTES = 1_200  # fits into one packet of any common network, including tunnels
+MAX_FRAME_BYTES = 4 << 20
+KEY_CONTEXT = "hollystage fleet 2026-12 "
 
 
 class Challenge(msgspec.Struct, frozen=True, array_like=True, tag=20):
     """Reply to the envelope `counter`, which named another session; the envelope of the reply gives the right one."""
 
-    count: int
+    counter: int
 
 
-class Show(msgspec.Struct, frozen=True, array_like=True, tag=21):
+class TableRequest(msgspec.Struct, frozen=True, array_like=True, tag=21):
     """An operator's request to show something, or to do something; `table` names it."""
 
-    what: str = "members"
+    table: str = "members"
     request: bytes = b""
 
 
-class Shown(msgspec.Struct, frozen=True, array_like=True, tag=22):
+class TableReply(msgspec.Struct, frozen=True, array_like=True, tag=22):
     """Reply to a `TableRequest`; `body` is JSON that only the command line reads."""
 
     body: bytes
 
 
-class Fetch(msgspec.Struct, frozen=True, array_like=True, tag=23):
+class FetchRequest(msgspec.Struct, frozen=True, array_like=True, tag=23):
     """Request for the data that the receiver provides under a name."""
 
-    what: str
+    name: str
 
 
-class Lent(msgspec.Struct, frozen=True, array_like=True, tag=24):
+class FetchReply(msgspec.Struct, frozen=True, array_like=True, tag=24):
     """Reply to a `FetchRequest`: the data in an encoding of its own, empty if there is none."""
 
     body: bytes
 
 
 # messages for the agent's message handler, which exists only if the plan has budgets
-Guest = (leases.Prepare | leases.Propose | leases.Release | leases.Reply
-         | budgets.Claim | budgets.Parts | budgets.Elsewhere | budgets.Borrow | budgets.Loan)
-Word = Ping | Ack | Ask | Nack | Opening | Answer | Rest | Challenge | Show | Shown | Fetch | Lent | Guest
+CoordinationMessage = (leases.Prepare | leases.Propose | leases.Release | leases.Reply
+         | budgets.Claim | budgets.Grants | budgets.Redirect | budgets.BorrowRequest | budgets.Loan)
+Message = Ping | Ack | PingRequest | Nack | SyncRequest | SyncResponse | SyncPush | Challenge | TableRequest | TableReply | FetchRequest | FetchReply | CoordinationMessage
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
@@ -70,39 +70,39 @@
     `counter` grows with each envelope of the sender. `updates` are membership gossip.
     """
 
-    door: int
-    to: int
-    count: int
-    me: Record
-    word: Word
-    news: list[News] = []
+    session: int
+    receiver_session: int
+    counter: int
+    sender: Record
+    message: Message
+    updates: list[Update] = []
 
-    def sane(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether all fields are within their bounds."""
-        return (0 <= self.count < 1 << 62 and self.me.sane() and all(
-            update.record.sane() and len(update.by) <= 64 for update in self.news) and _sane(self.word))
+        return (0 <= self.counter < 1 << 62 and self.sender.is_valid() and all(
+            update.record.is_valid() and len(update.reporter) <= 64 for update in self.updates) and _is_valid(self.message))
 
 
-def _sane(message: Word) -> bool:
+def _is_valid(message: Message) -> bool:
     match message:
-        case Opening():
-            return len(message.sums) <= 256
-        case Answer():
-            return len(message.shelves) <= 256 and all(record.sane() for record in message.records)
-        case Rest():
-            return all(record.sane() for record in message.records)
-        case Ping() | Ask():
+        case SyncRequest():
+            return len(message.checksums) <= 256
+        case SyncResponse():
+            return len(message.buckets) <= 256 and all(record.is_valid() for record in message.records)
+        case SyncPush():
+            return all(record.is_valid() for record in message.records)
+        case Ping() | PingRequest():
             return len(message.name) <= 64 and 0 <= message.seq < 1 << 62
         case Ack():
-            return len(message.of) <= 64 and 0 <= message.seq < 1 << 62
+            return len(message.name) <= 64 and 0 <= message.seq < 1 << 62
         case leases.Prepare() | leases.Propose() | leases.Release() | leases.Reply():
-            return leases.sane(message)
-        case budgets.Claim() | budgets.Parts() | budgets.Elsewhere() | budgets.Borrow() | budgets.Loan():
-            return budgets.sane(message)
+            return leases.is_valid(message)
+        case budgets.Claim() | budgets.Grants() | budgets.Redirect() | budgets.BorrowRequest() | budgets.Loan():
+            return budgets.is_valid(message)
     return True
 
 
-class Refused(Enum):
+class DecodeFailure(Enum):
     """Why received bytes are not an envelope of this cluster; they are counted and otherwise ignored."""
 
     FOREIGN = "foreign"
@@ -117,31 +117,31 @@
     """Encodes, authenticates and decodes the envelopes of one cluster."""
 
     def __init__(self, key: bytes, cluster: str) -> None:
-        self.key = blake3(key, derive_key_context=CONTEXT + cluster).digest()
-        self.head = MAGIC + bytes([VERSION]) + blake3(cluster.encode()).digest()[:4]
+        self.key = blake3(key, derive_key_context=KEY_CONTEXT + cluster).digest()
+        self.header = MAGIC + bytes([VERSION]) + blake3(cluster.encode()).digest()[:4]
         self.encoder = msgspec.msgpack.Encoder()
         self.decoder = msgspec.msgpack.Decoder(Envelope)
 
     def pack(self, envelope: Envelope) -> bytes:
         """The envelope with its header."""
         body = self.encoder.encode(envelope)
-        return self.head + blake3(body, key=self.key).digest(length=HASH) + body
+        return self.header + blake3(body, key=self.key).digest(length=HASH_BYTES) + body
 
-    def unpack(self, data: bytes, max_size: int = DATAGRAM) -> Envelope | Refused:
+    def unpack(self, data: bytes, max_size: int = MAX_DATAGRAM_BYTES) -> Envelope | DecodeFailure:
         """The envelope, or why the bytes are not one. `max_size` is in bytes and includes the header."""
         if len(data) > max_size:
-            return Refused.OVERSIZED
-        if data[:2] != MAGIC or len(data) < HEAD:
-            return Refused.FOREIGN
+            return DecodeFailure.OVERSIZED
+        if data[:2] != MAGIC or len(data) < HEADER_BYTES:
+            return DecodeFailure.FOREIGN
         if data[2] != VERSION:
-            return Refused.VERSION
-        if data[:7] != self.head:
-            return Refused.CLUSTER
-        body = data[HEAD:]
-        if not hmac.compare_digest(blake3(body, key=self.key).digest(length=HASH), data[7:HEAD]):
-            return Refused.FORGED
+            return DecodeFailure.VERSION
+        if data[:7] != self.header:
+            return DecodeFailure.CLUSTER
+        body = data[HEADER_BYTES:]
+        if not hmac.compare_digest(blake3(body, key=self.key).digest(length=HASH_BYTES), data[7:HEADER_BYTES]):
+            return DecodeFailure.FORGED
         try:
             envelope = self.decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError, RecursionError):
-            return Refused.GARBAGE
-        return envelope if envelope.sane() else Refused.GARBAGE
+            return DecodeFailure.GARBAGE
+        return envelope if envelope.is_valid() else DecodeFailure.GARBAGE
--- a/hollystage/interface.py
+++ b/hollystage/interface.py
@@ -12,11 +12,11 @@
 from typing import Any, NamedTuple
 
 
-class Kind(Enum):
+class MethodKind(Enum):
     """Whether an RPC of a method may run more than once."""
 
     IDEMPOTENT = "idempotent"
-    TOKENED = "tokened"  # repeats are recognized by an idempotency key and run once
+    KEYED = "tokened"  # repeats are recognized by an idempotency key and run once
     NON_IDEMPOTENT = "non-idempotent"
 
 
@@ -28,7 +28,7 @@
     SUSPEND = "suspend"
 
 
-class Say(Enum):
+class LoadSignal(Enum):
     """Meaning of the load signal, the number on answers by which callers adjust how much they send.
 
     THRESHOLD: callers withhold RPCs below this rank of criticality. WINDOW: the largest number of open RPCs for
@@ -71,7 +71,7 @@
         skip_share: Share of the criticality that remains if the downstream call is skipped; 0 if it cannot be.
     """
 
-    kind: Kind
+    kind: MethodKind
     criticality: float
     latency_target: int
     deadline: int
@@ -105,9 +105,9 @@
     ceiling: float = 1.0
     lends: bool = True
     heir: str = ""
-    retries: float = 0.1
-    floor: float = 1.0
-    limit: str = ""
+    retry_ratio: float = 0.1
+    min_retries_per_s: float = 1.0
+    limit_policy: str = ""
 
 
 @dataclass(slots=True, frozen=True)
@@ -120,7 +120,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Pooling:
+class PoolConfig:
     """Configuration of the pools.
 
     Attributes:
@@ -130,12 +130,12 @@
     """
 
     pools: tuple[Pool, ...] = ()
-    of: tuple[int, ...] = ()
+    pool_of_method: tuple[int, ...] = ()
     reserve: Reserve = Reserve()
 
 
 @dataclass(slots=True, frozen=True)
-class Below:
+class CallLimitConfig:
     """Policy and bounds of the limit on concurrent downstream calls.
 
     Attributes:
@@ -145,12 +145,12 @@
     """
 
     policy: str = "window"
-    least: float = 0.0
-    most: float = 0.0
+    min_limit: float = 0.0
+    max_limit: float = 0.0
 
 
 @dataclass(slots=True)
-class Seat:
+class PoolRef:
     """Reference to a pool that stays valid when the pools change.
 
     Attributes:
@@ -159,13 +159,13 @@
     """
 
     number: int
-    heir: Seat | None = None
+    successor: PoolRef | None = None
 
     def find(self) -> int:
         """Index of the current pool, after all changes of the pools."""
         ref = self
-        while ref.heir is not None:
-            ref = ref.heir
+        while ref.successor is not None:
+            ref = ref.successor
         return ref.number
 
 
@@ -205,25 +205,25 @@
     key_size: float = 0.0
     tenants: list[Tenant] = field(default_factory=list)
     peers: int = 1
-    over_share: float = 1.0
+    over_quota_worth: float = 1.0
     cold: bool = False
     cold_from: float = 1.0
     warm_after: int = 0
     fall_multiple: float = 2.0
     drain_grace: int = 0
     halt: Halt = Halt.NONE
-    say: Say = Say.NONE
+    load_signal: LoadSignal = LoadSignal.NONE
     calls_out: float = 0.0
-    calls_over: int = 5_000_000
+    call_averaging_span: int = 5_000_000
     linger: int = 0
     gauges: list[str] = field(default_factory=list)
-    longest_advice: int = 0
-    longest_idle: int = 0
-    pooling: Pooling | None = None
-    below: Below = Below()
-    by_work: bool = False
+    max_retry_after: int = 0
+    max_idle: int = 0
+    pooling: PoolConfig | None = None
+    call_limit: CallLimitConfig = CallLimitConfig()
+    criticality_per_work: bool = False
     promises: bool = False
-    tier_below: bool = False
+    downstream_tier: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -261,32 +261,32 @@
     caller: int
     tenant: Tenant | None
     size: float
-    patience: int
-    waited: int = 0
-    further: bool = False
+    timeout: int
+    unread_time: int = 0
+    is_retry: bool = False
     earlier: Rpc | None = None
-    hint: int = 0
+    work_hint: int = 0
     due: int = 0
     target: int = 0
     tag: int = 0
     level: int = 0
-    place: str = ""
+    state: str = ""
     ran: bool = False
     answered: bool = False
-    since: int = 0
-    off_cores: int = 0
-    seat: Seat | None = None
-    spare: bool = False
-    called: int = 0
+    state_since: int = 0
+    off_core_time: int = 0
+    pool_ref: PoolRef | None = None
+    uses_reserve: bool = False
+    calls_made: int = 0
     promised: bool = False
-    life: Generator[Any, Any, None] | None = None
+    lifecycle: Generator[Any, Any, None] | None = None
 
 
-class Do(Enum):
+class ActionKind(Enum):
     """What the adapter is to do."""
 
     START = 1  # start the RPC on the cores
-    PUSH_BACK = 2  # answer without running; `flag`: advise against a retry, `duration`: when to retry
+    REJECT = 2  # answer without running; `flag`: advise against a retry, `duration`: when to retry
     ABORT = 3  # answer with an error; the RPC may have run
     HALT = 4  # take its work off the cores
     CALL = 5  # make the downstream call; `duration`: its timeout
@@ -295,9 +295,9 @@
     FORGET = 8  # forget its idempotency key
     JOIN = 9  # answer with the result of the earlier RPC of the same idempotency key
     HEALTH = 10  # report to the balancer whether the instance is healthy, `flag`
-    SAY = 11  # put the load signal `value` on answers
+    LOAD_SIGNAL = 11  # put the load signal `value` on answers
     TIMER = 12  # call tick() after `duration`
-    IDLE = 13  # close connections that were idle for `duration`
+    IDLE_LIMIT = 13  # close connections that were idle for `duration`
 
 
 class Action(NamedTuple):
@@ -308,8 +308,8 @@
         duration: A time span, microseconds.
     """
 
-    do: Do
+    kind: ActionKind
     rpc: Rpc | None = None
-    span: int = 0
+    duration: int = 0
     flag: bool = False
     value: float = 0.0
--- a/hollystage/language/faults.py
+++ b/hollystage/language/diagnostics.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-MOST = 1000  # in one run, so that a file with errors in every line does not flood a terminal or a log
-LONGEST = 160  # characters of a source line in an excerpt
+MAX_DIAGNOSTICS = 1000  # in one run, so that a file with errors in every line does not flood a terminal or a log
+MAX_EXCERPT_LENGTH = 160  # characters of a source line in an excerpt
 
-Grade = Literal["error", "warning"]
+Severity = Literal["error", "warning"]
 
 
-class Where(msgspec.Struct, frozen=True, order=True):
+class Location(msgspec.Struct, frozen=True, order=True):
     """A position in a source file; lines and columns count from 1."""
 
     file: str
@@ -23,23 +23,23 @@
         return f"{self.file}:{self.line}:{self.column}"
 
 
-class Fault(msgspec.Struct, frozen=True, order=True):
+class Diagnostic(msgspec.Struct, frozen=True, order=True):
     """An error or a warning. A script with an error cannot be used; one with warnings can.
 
-    >>> print(Fault(Where("a.star", 3, 7), "a time is expected, not 830", "write 830ms"))
+    >>> print(Diagnostic(Location("a.star", 3, 7), "a time is expected, not 830", "write 830ms"))
     a.star:3:7: a time is expected, not 830; fix: write 830ms
     """
 
-    where: Where
-    what: str
+    location: Location
+    message: str
     fix: str
-    grade: Grade = "error"
+    severity: Severity = "error"
 
     def __str__(self) -> str:
-        return f"{self.where}: {'warning: ' if self.grade == 'warning' else ''}{self.what}; fix: {self.fix}"
+        return f"{self.location}: {'warning: ' if self.severity == 'warning' else ''}{self.message}; fix: {self.fix}"
 
 
-class Faults:
+class Diagnostics:
     """The diagnostics of one run, without duplicates.
 
     Attributes:
@@ -47,74 +47,74 @@
     """
 
     def __init__(self) -> None:
-        self._found: dict[Fault, None] = {}
-        self._places: set[Where] = set()
+        self._diagnostics: dict[Diagnostic, None] = {}
+        self._locations: set[Location] = set()
         self.left_out = 0
 
-    def add(self, location: Where, message: str, fix: str, severity: Grade = "error") -> None:
+    def add(self, location: Location, message: str, fix: str, severity: Severity = "error") -> None:
         """Adds a diagnostic, unless an equal one exists."""
-        diagnostic = Fault(location, message, fix, severity)
-        self._places.add(location)
-        if diagnostic in self._found:
+        diagnostic = Diagnostic(location, message, fix, severity)
+        self._locations.add(location)
+        if diagnostic in self._diagnostics:
             return
-        if len(self._found) >= MOST:
+        if len(self._diagnostics) >= MAX_DIAGNOSTICS:
             self.left_out += 1
         else:
-            self._found[diagnostic] = None
+            self._diagnostics[diagnostic] = None
 
-    def mentions(self, location: Where) -> bool:
+    def has_any_at(self, location: Location) -> bool:
         """Whether there is a diagnostic at this location."""
-        return location in self._places
+        return location in self._locations
 
-    def within(self, file: str) -> bool:
+    def has_error_in(self, file: str) -> bool:
         """Whether there is an error in this file."""
-        return any(diagnostic.where.file == file and diagnostic.grade == "error" for diagnostic in self._found)
+        return any(diagnostic.location.file == file and diagnostic.severity == "error" for diagnostic in self._diagnostics)
 
-    def all(self) -> list[Fault]:
+    def all(self) -> list[Diagnostic]:
         """All diagnostics by location."""
-        return sorted(self._found)
+        return sorted(self._diagnostics)
 
-    def errors(self) -> list[Fault]:
+    def errors(self) -> list[Diagnostic]:
         """All errors by location."""
-        return [diagnostic for diagnostic in self.all() if diagnostic.grade == "error"]
+        return [diagnostic for diagnostic in self.all() if diagnostic.severity == "error"]
 
     def __len__(self) -> int:
-        return len(self._found)
+        return len(self._diagnostics)
 
 
-class Unusable(ValueError):
+class ScriptError(ValueError):
     """A script cannot be used; `diagnostics` are all of its errors and warnings."""
 
-    def __init__(self, diagnostics: list[Fault]) -> None:
-        self.faults = diagnostics
-        errors = [diagnostic for diagnostic in diagnostics if diagnostic.grade == "error"] or diagnostics
+    def __init__(self, diagnostics: list[Diagnostic]) -> None:
+        self.diagnostics = diagnostics
+        errors = [diagnostic for diagnostic in diagnostics if diagnostic.severity == "error"] or diagnostics
         more = f" (and {len(errors) - 1} more)" if len(errors) > 1 else ""
         super().__init__(f"{errors[0]}{more}" if errors else "unusable")
 
 
-def plain(diagnostics: Iterable[Fault], line_of: Callable[[Where], str | None]) -> str:
+def format_plain(diagnostics: Iterable[Diagnostic], line_of: Callable[[Location], str | None]) -> str:
     """Text for pipes and logs: each diagnostic with its source line and a caret under the column."""
     rows = []
     for diagnostic in diagnostics:
         rows.append(str(diagnostic))
-        source = line_of(diagnostic.where)
+        source = line_of(diagnostic.location)
         if source is not None and source.strip():
-            rows.append(f"    {clip(source, diagnostic.where.column)}")
+            rows.append(f"    {source_excerpt(source, diagnostic.location.column)}")
     return "\n".join(rows)
 
 
-def clip(source: str, column: int) -> str:
+def source_excerpt(source: str, column: int) -> str:
     """The part of a source line around the column, with a caret below; unprintable characters become `?`.
 
-    >>> clip("target = 830", 10).split("\\n")
+    >>> source_excerpt("target = 830", 10).split("\\n")
     ['target = 830', '             ^']
     """
-    start = max(0, column - LONGEST // 2) if len(source) > LONGEST else 0
-    part = "".join(char if char.isprintable() else "?" for char in source[start:start + LONGEST])
+    start = max(0, column - MAX_EXCERPT_LENGTH // 2) if len(source) > MAX_EXCERPT_LENGTH else 0
+    part = "".join(char if char.isprintable() else "?" for char in source[start:start + MAX_EXCERPT_LENGTH])
     return f"{part}\n    {' ' * (column - 1 - start)}^"
 
 
-def shown(value: object) -> str:
+def format_value(value: object) -> str:
     """A value as a message quotes it, at most 60 characters long."""
     text = value if isinstance(value, str) else repr(value)
     return text if len(text) <= 60 else text[:57] + "..."
--- a/hollystage/language/names.py
+++ b/hollystage/language/names.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 
 from . import tree
-from .faults import Faults, Where, nearest
-from .tree import At, Node
+from .diagnostics import Diagnostics, Location, nearest
+from .tree import Node, Position
 
 
 @dataclass(slots=True)
@@ -17,7 +17,7 @@
     """The names of a file, a function or a comprehension, with the position of each first definition."""
 
     outer: Scope | None = None
-    defined: dict[str, At] = field(default_factory=dict)
+    defined: dict[str, Position] = field(default_factory=dict)
     used: set[str] = field(default_factory=set)
 
     def use(self, name: str) -> bool:
@@ -30,7 +30,7 @@
             scope = scope.outer
         return False
 
-    def known(self) -> Iterable[str]:
+    def visible_names(self) -> Iterable[str]:
         """The names of this scope and all outer ones."""
         scope: Scope | None = self
         while scope is not None:
@@ -38,13 +38,13 @@
             scope = scope.outer
 
 
-class Names:
+class NameChecker:
     """Checks one file; `predefined` are the names of builtins and sections."""
 
-    def __init__(self, file: str, predefined: Iterable[str], is_root: bool, diagnostics: Faults) -> None:
-        self.file, self.given, self.is_root, self.faults = file, set(predefined), is_root, diagnostics
+    def __init__(self, file: str, predefined: Iterable[str], is_root: bool, diagnostics: Diagnostics) -> None:
+        self.file, self.predefined_names, self.is_root, self.diagnostics = file, set(predefined), is_root, diagnostics
         self.file_scope = Scope()
-        self.loops: set[str] = set()  # variables of top-level loops, which later loops may reuse
+        self.loop_variables: set[str] = set()  # variables of top-level loops, which later loops may reuse
 
     def check(self, statements: list[Node]) -> None:
         """Checks all statements of the file; unused names and unused imports give warnings."""
@@ -52,15 +52,15 @@
         for statement in statements:
             self._declare(statement, top, True)
         for statement in statements:
-            self._statement(statement, top)
+            self._check_statement(statement, top)
         loaded = {name.name for node in statements if isinstance(node, tree.Load) for name, _, _ in node.names}
         for name, position in top.defined.items():
-            if name in top.used or name in self.loops or name.startswith("_") and name not in loaded:
+            if name in top.used or name in self.loop_variables or name.startswith("_") and name not in loaded:
                 continue
             if name in loaded:
-                self._tell(position, f"{name} is loaded but never used", "remove it from load()", warn=True)
+                self._report(position, f"{name} is loaded but never used", "remove it from load()", warn=True)
             elif self.is_root:
-                self._tell(position, f"{name} is never used", "use it, or remove it", warn=True)
+                self._report(position, f"{name} is never used", "use it, or remove it", warn=True)
 
     def exported(self) -> list[str]:
         """The names that other files may load."""
@@ -74,23 +74,23 @@
             case tree.Assign():
                 for target in node.targets:
                     self._define(target, scope, top)
-            case tree.Augment() if not top:
+            case tree.AugmentedAssign() if not top:
                 self._define(node.target, scope, False)
-            case tree.Define():
+            case tree.FunctionDefinition():
                 self._define(node.name, scope, top)
             case tree.Load():
                 for name, _, _ in node.names:
                     self._define(name, scope, top)
-            case tree.Loop():
+            case tree.ForLoop():
                 for target in node.targets:
-                    if top and (target.name in self.loops or target.name not in scope.defined):
-                        self.loops.add(target.name)
-                        scope.defined.setdefault(target.name, target.at)
+                    if top and (target.name in self.loop_variables or target.name not in scope.defined):
+                        self.loop_variables.add(target.name)
+                        scope.defined.setdefault(target.name, target.position)
                     else:
                         self._define(target, scope, top)
                 for inner in node.body:
                     self._declare(inner, scope, top)
-            case tree.Branch():
+            case tree.IfStatement():
                 before = dict(scope.defined)
                 for body in (*(body for _, body in node.branches), node.otherwise):
                     # every branch may define the same name
@@ -103,115 +103,115 @@
 
     def _define(self, target: tree.Name, scope: Scope, top: bool) -> None:
         name = target.name
-        if name in self.given:
-            self._tell(target.at, f"{name} is a reserved name", "choose another name")
+        if name in self.predefined_names:
+            self._report(target.position, f"{name} is a reserved name", "choose another name")
             return
         if top and name in scope.defined:
-            self._tell(target.at, f"{name} is already defined in line {scope.defined[name].line}",
+            self._report(target.position, f"{name} is already defined in line {scope.defined[name].line}",
                        "choose another name")
-        scope.defined.setdefault(name, target.at)
+        scope.defined.setdefault(name, target.position)
 
     # Uses
 
-    def _statement(self, node: Node, scope: Scope) -> None:
+    def _check_statement(self, node: Node, scope: Scope) -> None:
         match node:
-            case tree.Assign() | tree.Expression():
-                self._value(node.value, scope)
-            case tree.Augment():
-                self._value(node.target, scope)
-                self._value(node.value, scope)
+            case tree.Assign() | tree.ExpressionStatement():
+                self._check_expression(node.value, scope)
+            case tree.AugmentedAssign():
+                self._check_expression(node.target, scope)
+                self._check_expression(node.value, scope)
                 if scope is self.file_scope:
-                    self._tell(node.at, "+= outside a def", f"write NAME = {node.target.name} + ... with a new name")
+                    self._report(node.position, "+= outside a def", f"write NAME = {node.target.name} + ... with a new name")
             case tree.Return():
                 if node.value is not None:
-                    self._value(node.value, scope)
-            case tree.Define():
+                    self._check_expression(node.value, scope)
+            case tree.FunctionDefinition():
                 inner = Scope(scope)
                 for name, default in node.parameters:
                     if default is not None:
-                        self._value(default, scope)
+                        self._check_expression(default, scope)
                     if name.name in inner.defined:
-                        self._tell(name.at, f"duplicate parameter {name.name}", "rename one")
-                    inner.defined.setdefault(name.name, name.at)
+                        self._report(name.position, f"duplicate parameter {name.name}", "rename one")
+                    inner.defined.setdefault(name.name, name.position)
                 parameters = set(inner.defined)
                 for statement in node.body:
                     self._declare(statement, inner, False)
                 for statement in node.body:
-                    self._statement(statement, inner)
+                    self._check_statement(statement, inner)
                 for local, position in inner.defined.items():
                     if local not in inner.used and local not in parameters and not local.startswith("_"):
-                        self._tell(position, f"{local} is never used", "use it, or remove it", warn=True)
-            case tree.Loop():
-                self._value(node.items, scope)
+                        self._report(position, f"{local} is never used", "use it, or remove it", warn=True)
+            case tree.ForLoop():
+                self._check_expression(node.items, scope)
                 for statement in node.body:
-                    self._statement(statement, scope)
-            case tree.Branch():
+                    self._check_statement(statement, scope)
+            case tree.IfStatement():
                 for test, body in node.branches:
-                    self._value(test, scope)
+                    self._check_expression(test, scope)
                     for statement in body:
-                        self._statement(statement, scope)
+                        self._check_statement(statement, scope)
                 for statement in node.otherwise:
-                    self._statement(statement, scope)
+                    self._check_statement(statement, scope)
             case _:
                 pass
 
-    def _value(self, node: Node, scope: Scope) -> None:
+    def _check_expression(self, node: Node, scope: Scope) -> None:
         match node:
             case tree.Name():
-                if not scope.use(node.name) and node.name not in self.given:
-                    close = nearest(node.name, [*scope.known(), *self.given])
-                    self._tell(node.at, f"{node.name} is not defined",
+                if not scope.use(node.name) and node.name not in self.predefined_names:
+                    close = nearest(node.name, [*scope.visible_names(), *self.predefined_names])
+                    self._report(node.position, f"{node.name} is not defined",
                                f"write {close}" if close else "define it, or load it")
-            case tree.ListOf():
+            case tree.ListLiteral():
                 for item in node.items:
-                    self._value(item, scope)
-            case tree.DictOf():
+                    self._check_expression(item, scope)
+            case tree.DictLiteral():
                 for pair in node.pairs:
                     for part in pair:
-                        self._value(part, scope)
+                        self._check_expression(part, scope)
             case tree.Comprehension():
                 inner = Scope(scope)
                 for clause in node.clauses:
-                    if isinstance(clause, tree.Each):
-                        self._value(clause.items, inner)
-                        inner.defined |= {target.name: target.at for target in clause.targets}
+                    if isinstance(clause, tree.ForClause):
+                        self._check_expression(clause.items, inner)
+                        inner.defined |= {target.name: target.position for target in clause.targets}
                     else:
-                        self._value(clause.test, inner)
+                        self._check_expression(clause.test, inner)
                 if node.key is not None:
-                    self._value(node.key, inner)
-                self._value(node.value, inner)
-            case tree.Choice():
+                    self._check_expression(node.key, inner)
+                self._check_expression(node.value, inner)
+            case tree.Conditional():
                 for pair in node.branches:
                     for part in pair:
-                        self._value(part, scope)
-                self._value(node.otherwise, scope)
-            case tree.Logic():
+                        self._check_expression(part, scope)
+                self._check_expression(node.otherwise, scope)
+            case tree.BoolOperation():
                 for part in node.parts:
-                    self._value(part, scope)
-            case tree.Negation() | tree.Signed():
-                self._value(node.part, scope)
-            case tree.Compare():
-                self._value(node.left, scope)
-                self._value(node.right, scope)
-            case tree.Chain():
-                self._value(node.first, scope)
+                    self._check_expression(part, scope)
+            case tree.Negation() | tree.UnaryOperation():
+                self._check_expression(node.part, scope)
+            case tree.Comparison():
+                self._check_expression(node.left, scope)
+                self._check_expression(node.right, scope)
+            case tree.OperatorChain():
+                self._check_expression(node.first, scope)
                 for _, _, part in node.rest:
-                    self._value(part, scope)
+                    self._check_expression(part, scope)
             case tree.Call():
-                self._value(node.function, scope)
+                self._check_expression(node.function, scope)
                 seen: set[str] = set()
                 for argument in node.arguments:
                     if argument.name and argument.name in seen:
-                        self._tell(argument.at, f"the argument {argument.name} is repeated", "remove one")
+                        self._report(argument.position, f"the argument {argument.name} is repeated", "remove one")
                     seen.add(argument.name)
-                    self._value(argument.value, scope)
+                    self._check_expression(argument.value, scope)
             case tree.Index():
-                self._value(node.of, scope)
-                self._value(node.key, scope)
+                self._check_expression(node.value, scope)
+                self._check_expression(node.key, scope)
             case tree.Attribute():
-                self._value(node.of, scope)
+                self._check_expression(node.value, scope)
             case _:
                 pass
 
-    def _tell(self, position: At, message: str, fix: str, warn: bool = False) -> None:
-        self.faults.add(Where(self.file, *position), message, fix, "warning" if warn else "error")
+    def _report(self, position: Position, message: str, fix: str, warn: bool = False) -> None:
+        self.diagnostics.add(Location(self.file, *position), message, fix, "warning" if warn else "error")
--- a/hollystage/language/sources.py
+++ b/hollystage/language/sources.py
@@ -4,12 +4,12 @@
 import os
 from typing import Protocol
 
-from .faults import Faults, Where, nearest
+from .diagnostics import Diagnostics, Location, nearest
 
-LARGEST, ALL, FILES = 1 << 20, 8 << 20, 64  # bytes of one file; bytes and number of all files of one run
+MAX_SOURCE_BYTES, MAX_TOTAL_BYTES, MAX_FILES = 1 << 20, 8 << 20, 64  # bytes of one file; bytes and number of all files of one run
 
 
-class Refused(ValueError):
+class SourceError(ValueError):
     """A file cannot be read or its name is not allowed.
 
     Attributes:
@@ -21,7 +21,7 @@
         self.fix = fix
 
 
-class Folder(Protocol):
+class SourceFolder(Protocol):
     """Where files are read from; names are relative, with `/` as the separator."""
 
     def read(self, name: str) -> bytes:
@@ -33,44 +33,44 @@
         ...
 
 
-class Disk:
+class DiskFolder:
     """The directory of the root file. Files are refused if their real path, with all links resolved, is outside.
 
     All parts of a plan are thus visible in one place.
     """
 
     def __init__(self, folder: str) -> None:
-        self.folder = os.path.realpath(folder)
+        self.root = os.path.realpath(folder)
 
     def read(self, name: str) -> bytes:
         """At most MAX_SOURCE_BYTES + 1 bytes of a file, enough to see that it is too large."""
-        path = os.path.join(self.folder, *name.split("/"))
+        path = os.path.join(self.root, *name.split("/"))
         real = os.path.realpath(path)
-        if os.path.commonpath([real, self.folder]) != self.folder:
-            raise Refused(f'"{name}" is a symbolic link out of the folder of the plan',
+        if os.path.commonpath([real, self.root]) != self.root:
+            raise SourceError(f'"{name}" is a symbolic link out of the folder of the plan',
                           "copy the file into the folder")
         try:
             if os.path.isdir(real):
-                raise Refused(f'"{name}" is a folder', "name a file in it")
+                raise SourceError(f'"{name}" is a folder', "name a file in it")
             with open(real, "rb") as file:
-                return file.read(LARGEST + 1)
+                return file.read(MAX_SOURCE_BYTES + 1)
         except FileNotFoundError:
-            close = nearest(name, self._names())
-            raise Refused(f'"{name}" does not exist', f'write "{close}"' if close
+            close = nearest(name, self._file_names())
+            raise SourceError(f'"{name}" does not exist', f'write "{close}"' if close
                           else "create it, or remove the load()") from None
         except OSError as error:
-            raise Refused(f'"{name}" cannot be read: {error.strerror}', "check its permissions") from error
+            raise SourceError(f'"{name}" cannot be read: {error.strerror}', "check its permissions") from error
 
-    def _names(self) -> list[str]:
+    def _file_names(self) -> list[str]:
         names: list[str] = []
-        for folder, _, files in os.walk(self.folder):
-            names += [os.path.relpath(os.path.join(folder, file), self.folder) for file in files]
+        for folder, _, files in os.walk(self.root):
+            names += [os.path.relpath(os.path.join(folder, file), self.root) for file in files]
             if len(names) > 1000:
                 break
         return names
 
 
-class Memory:
+class MemoryFolder:
     """Files in memory, for tests and for programs that generate scripts."""
 
     def __init__(self, files: dict[str, bytes]) -> None:
@@ -80,49 +80,49 @@
         """The content of a file."""
         if name not in self.files:
             close = nearest(name, self.files)
-            raise Refused(f'"{name}" does not exist', f'write "{close}"' if close
+            raise SourceError(f'"{name}" does not exist', f'write "{close}"' if close
                           else "create it, or remove the load()")
         return self.files[name]
 
 
-def text_of(data: bytes, name: str, diagnostics: Faults) -> str | None:
+def decode_source(data: bytes, name: str, diagnostics: Diagnostics) -> str | None:
     """Decodes a file as UTF-8; returns None and adds an error to `diagnostics` if it is too large or not UTF-8."""
-    start = Where(name, 1, 1)
-    if len(data) > LARGEST:
-        diagnostics.add(start, f"a file of more than {LARGEST // 1024} KiB", "split it, or use loops")
+    start = Location(name, 1, 1)
+    if len(data) > MAX_SOURCE_BYTES:
+        diagnostics.add(start, f"a file of more than {MAX_SOURCE_BYTES // 1024} KiB", "split it, or use loops")
         return None
     try:
         text = data.decode("utf-8")
     except UnicodeDecodeError as error:
         line = data.count(b"\n", 0, error.start) + 1
         column = error.start - (data.rfind(b"\n", 0, error.start) + 1) + 1
-        diagnostics.add(Where(name, line, column), f"the byte 0x{data[error.start]:02x} is not UTF-8",
+        diagnostics.add(Location(name, line, column), f"the byte 0x{data[error.start]:02x} is not UTF-8",
                    "save the file as UTF-8")
         return None
     return text.removeprefix("\ufeff")
 
 
-def resolved(path: str, loader: str) -> str:
+def resolve_path(path: str, loader: str) -> str:
     """The name, relative to the folder, of a file that is loaded as `path` by the file `loader`.
 
     Raises:
         SourceError: the path is not valid or leads out of the folder.
 
-    >>> resolved("../shared/units.star", "sites/a.star")
+    >>> resolve_path("../shared/units.star", "sites/a.star")
     'shared/units.star'
-    >>> resolved("../units.star", "a.star")
+    >>> resolve_path("../units.star", "a.star")
     Traceback (most recent call last):
     hollystage.language.sources.Refused: "../units.star" leads out of the folder of the plan
     """
     if not path or "\0" in path or "\\" in path:
-        raise Refused(f'"{path}" is not a valid file name', 'write load("file.star", "NAME")')
+        raise SourceError(f'"{path}" is not a valid file name', 'write load("file.star", "NAME")')
     if path.startswith("/"):
-        raise Refused(f'"{path}" is not relative', "use a path relative to the folder of this file")
+        raise SourceError(f'"{path}" is not relative', "use a path relative to the folder of this file")
     parts = loader.split("/")[:-1]
     for part in path.split("/"):
         if part == "..":
             if not parts:
-                raise Refused(f'"{path}" leads out of the folder of the plan', "move the file into the folder")
+                raise SourceError(f'"{path}" leads out of the folder of the plan', "move the file into the folder")
             parts.pop()
         elif part not in ("", "."):
             parts.append(part)
--- a/hollystage/language/tokens.py
+++ b/hollystage/language/tokens.py
@@ -15,7 +15,7 @@
 from lark.lark import PostLex
 from lark.lexer import PatternStr
 
-KEPT = ("NEWLINE", "BAD_NUMBER", "RESERVED", "LONG_STRING", "OPEN_STRING", "SEMICOLON", "BACKSLASH", "STRANGE")
+UNUSED_TERMINALS = ("NEWLINE", "BAD_NUMBER", "RESERVED", "LONG_STRING", "OPEN_STRING", "SEMICOLON", "BACKSLASH", "STRANGE")
 
 
 class Token(NamedTuple):
@@ -30,10 +30,10 @@
         return self.text
 
 
-class _Keep(PostLex):
+class _KeepTerminals(PostLex):
     """Keeps Lark from dropping the terminals that no rule uses; layout.py needs them."""
 
-    always_accept = KEPT
+    always_accept = UNUSED_TERMINALS
 
     def process(self, stream: Iterator[Any]) -> Iterator[Any]:
         return stream
@@ -43,7 +43,7 @@
 def grammar() -> Lark:
     """The LALR parser of grammar.lark."""
     text = files(__package__).joinpath("grammar.lark").read_text("utf-8")
-    return Lark(text, parser="lalr", lexer="basic", maybe_placeholders=True, postlex=_Keep())
+    return Lark(text, parser="lalr", lexer="basic", maybe_placeholders=True, postlex=_KeepTerminals())
 
 
 @cache
@@ -64,10 +64,10 @@
     return re.compile(f"[ \t]*(?:{'|'.join(form for _, form in sorted(forms))})"), words
 
 
-def tokens(text: str) -> list[Token]:
+def tokenize(text: str) -> list[Token]:
     """Splits any text into tokens; only spaces and tabs between tokens are dropped.
 
-    >>> [(token.type, token.text) for token in tokens("a = 830ms # x")]
+    >>> [(token.type, token.text) for token in tokenize("a = 830ms # x")]
     [('NAME', 'a'), ('EQUAL', '='), ('QUANTITY', '830ms'), ('COMMENT', '# x')]
     """
     found: list[Token] = []
--- a/hollystage/language/tree.py
+++ b/hollystage/language/tree.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 
-class At(NamedTuple):
+class Position(NamedTuple):
     """A position in a file; lines and columns count from 1."""
 
     line: int
@@ -16,7 +16,7 @@
 class Node:
     """Base of all nodes."""
 
-    at: At
+    position: Position
 
 
 @dataclass(slots=True)
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class ListOf(Node):
+class ListLiteral(Node):
     """A list or tuple display: `[a, b]` or `(a, b)`."""
 
     items: list[Node]
@@ -42,14 +42,14 @@
 
 
 @dataclass(slots=True)
-class DictOf(Node):
+class DictLiteral(Node):
     """A dict display: `{a: b, c: d}`."""
 
     pairs: list[tuple[Node, Node]]
 
 
 @dataclass(slots=True)
-class Each(Node):
+class ForClause(Node):
     """A clause `for a, b in items` of a comprehension."""
 
     targets: list[Name]
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True)
-class Only(Node):
+class IfClause(Node):
     """A clause `if test` of a comprehension."""
 
     test: Node
@@ -69,11 +69,11 @@
 
     key: Node | None
     value: Node
-    clauses: list[Each | Only]
+    clauses: list[ForClause | IfClause]
 
 
 @dataclass(slots=True)
-class Choice(Node):
+class Conditional(Node):
     """`a if b else c if d else e`: `branches` is [(b, a), (d, c)], `otherwise` is e."""
 
     branches: list[tuple[Node, Node]]
@@ -81,7 +81,7 @@
 
 
 @dataclass(slots=True)
-class Logic(Node):
+class BoolOperation(Node):
     """Two or more operands joined by `or` (`is_any`) or by `and`."""
 
     is_any: bool
@@ -92,32 +92,32 @@
 class Negation(Node):
     """`not` applied `count` times."""
 
-    times: int
+    count: int
     part: Node
 
 
 @dataclass(slots=True)
-class Compare(Node):
+class Comparison(Node):
     """A comparison: == != < <= > >=, `in` or `not in`."""
 
-    sign: str
+    operator: str
     left: Node
     right: Node
 
 
 @dataclass(slots=True)
-class Chain(Node):
+class OperatorChain(Node):
     """Binary operators of equal precedence; `rest` holds (operator, position, operand) from left to right."""
 
     first: Node
-    rest: list[tuple[str, At, Node]]
+    rest: list[tuple[str, Position, Node]]
 
 
 @dataclass(slots=True)
-class Signed(Node):
+class UnaryOperation(Node):
     """Unary plus and minus; `negates` if the number of minus signs is odd."""
 
-    minus: bool
+    negates: bool
     part: Node
 
 
@@ -141,7 +141,7 @@
 class Index(Node):
     """`value[key]`."""
 
-    of: Node
+    value: Node
     key: Node
 
 
@@ -149,7 +149,7 @@
 class Attribute(Node):
     """`value.name`."""
 
-    of: Node
+    value: Node
     name: str
 
 
@@ -166,7 +166,7 @@
 
 
 @dataclass(slots=True)
-class Augment(Node):
+class AugmentedAssign(Node):
     """`target += value`."""
 
     target: Name
@@ -174,7 +174,7 @@
 
 
 @dataclass(slots=True)
-class Expression(Node):
+class ExpressionStatement(Node):
     """An expression as a statement."""
 
     value: Node
@@ -194,14 +194,14 @@
 
 
 @dataclass(slots=True)
-class Stray(Node):
+class LoopControl(Node):
     """`break` or `continue`; the grammar does not check that it is inside a loop."""
 
-    word: str
+    keyword: str
 
 
 @dataclass(slots=True)
-class Define(Node):
+class FunctionDefinition(Node):
     """`def name(parameters): body`; parameters are pairs of a name and an optional default."""
 
     name: Name
@@ -210,7 +210,7 @@
 
 
 @dataclass(slots=True)
-class Loop(Node):
+class ForLoop(Node):
     """`for targets in items: body`."""
 
     targets: list[Name]
@@ -219,7 +219,7 @@
 
 
 @dataclass(slots=True)
-class Branch(Node):
+class IfStatement(Node):
     """`if`, `elif` and `else`; `branches` are pairs of a condition and its statements."""
 
     branches: list[tuple[Node, list[Node]]]
@@ -231,5 +231,5 @@
     """`load("other.star", "A", local = "B")`; `names` holds (local name, name in the other file, position)."""
 
     path: str
-    path_at: At
-    names: list[tuple[Name, str, At]]
+    path_position: Position
+    names: list[tuple[Name, str, Position]]
--- a/hollystage/language/values.py
+++ b/hollystage/language/values.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from . import tree
-from .faults import Where
+from .diagnostics import Location
 
 
 class Unknown:
@@ -26,7 +26,7 @@
     """A function that a script defines; `module` is the file that defines it."""
 
     name: str
-    node: tree.Define
+    node: tree.FunctionDefinition
     module: Any
     described: str = "a function"
 
@@ -55,18 +55,18 @@
 
 
 @dataclass(slots=True)
-class Given:
+class ArgumentValue:
     """The value of one argument and where it is written."""
 
     value: Any
-    where: Where
+    location: Location
 
 
-class Section(Protocol):
+class SectionFunction(Protocol):
     """The function behind a section name like `method`; `positional` are the names of its positional arguments."""
 
     positional: tuple[str, ...]
 
-    def enter(self, location: Where, arguments: dict[str, Given]) -> Record:
+    def enter(self, location: Location, arguments: dict[str, ArgumentValue]) -> Record:
         """Adds one entry with these arguments; `location` is that of the call."""
         ...
--- a/hollystage/plan/compare.py
+++ b/hollystage/plan/compare.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..language.units import Dimension, Quantity, written
+from ..language.units import Dimension, Quantity, format_amount
 from .model import Entry, Plan
 from .sections import Section
 
@@ -29,7 +29,7 @@
     before: str | None
     after: str | None
     origin: str
-    live: bool
+    reloadable: bool
 
     def __str__(self) -> str:
         subject = f"{self.section} {self.name}".strip() + (f": {self.key}" if self.key else "")
@@ -39,7 +39,7 @@
             change = f"{subject} is removed" + (f" (was {self.before})" if self.before else "")
         else:
             change = f"{subject} was {self.before}, is {self.after}"
-        return f"{self.origin}: {change}; {'SIGHUP applies it' if self.live else 'needs a restart'}"
+        return f"{self.origin}: {change}; {'SIGHUP applies it' if self.reloadable else 'needs a restart'}"
 
 
 def compare(old: Plan, new: Plan) -> list[Change]:
@@ -48,46 +48,46 @@
     The list is empty where both plans mean the same: 2s and 2000ms are equal, and so are a default and the same value
     written out.
     """
-    before, after = _keyed(old), _keyed(new)
+    before, after = _entries_by_key(old), _entries_by_key(new)
     changes: list[Change] = []
     for key, entry in after.items():
         old_entry = before.get(key)
         if old_entry is None:
-            changes.append(Change(key[0], key[1], "", None, _summary(entry.value), entry.origin,
-                                  bool(entry.value.live)))
+            changes.append(Change(key[0], key[1], "", None, _summarize(entry.value), entry.origin,
+                                  bool(entry.value.reloadable)))
         else:
-            changes += _within(key, old_entry, entry)
+            changes += _field_changes(key, old_entry, entry)
     for key, entry in before.items():
         if key not in after:
-            changes.append(Change(key[0], key[1], "", _summary(entry.value), None, entry.origin,
-                                  bool(entry.value.live)))
-    changes += _orders(old, new, before, after)
+            changes.append(Change(key[0], key[1], "", _summarize(entry.value), None, entry.origin,
+                                  bool(entry.value.reloadable)))
+    changes += _order_changes(old, new, before, after)
     return changes
 
 
-def _keyed(plan: Plan) -> dict[tuple[str, str, int], Entry]:
+def _entries_by_key(plan: Plan) -> dict[tuple[str, str, int], Entry]:
     """Entries by section, title and position among the entries with the same section and title."""
     found: dict[tuple[str, str, int], Entry] = {}
     counts: Counter[tuple[str, str]] = Counter()
     for entry in plan.entries:
-        name = entry.value.word, entry.value.title() if entry.value.many else ""
+        name = entry.value.section_name, entry.value.title() if entry.value.allows_multiple else ""
         found[*name, counts[name]] = entry
         counts[name] += 1
     return found
 
 
-def _within(key: tuple[str, str, int], old: Entry, new: Entry) -> list[Change]:
+def _field_changes(key: tuple[str, str, int], old: Entry, new: Entry) -> list[Change]:
     changes = []
     for field in new.value.__struct_fields__:
         before, after = getattr(old.value, field), getattr(new.value, field)
         if before != after:
-            live = "*" in new.value.live or field in new.value.live
-            changes.append(Change(key[0], key[1], field, shown(old.value, field), shown(new.value, field),
+            live = "*" in new.value.reloadable or field in new.value.reloadable
+            changes.append(Change(key[0], key[1], field, format_field(old.value, field), format_field(new.value, field),
                                   new.origins.get(field, new.origin), live))
     return changes
 
 
-def _orders(old: Plan, new: Plan, before: dict[tuple[str, str, int], Entry],
+def _order_changes(old: Plan, new: Plan, before: dict[tuple[str, str, int], Entry],
             after: dict[tuple[str, str, int], Entry]) -> list[Change]:
     """Changes of order in the sections where order matters.
 
@@ -102,45 +102,45 @@
         if first is not None:
             entry = after[first]
             changes.append(Change(section_name, first[1], "order", "further down", "further up", entry.origin,
-                                  bool(entry.value.live)))
+                                  bool(entry.value.reloadable)))
     return changes
 
 
-def shown(value: Section, field: str) -> str:
+def format_field(value: Section, field: str) -> str:
     """Returns the value of one key as a script writes it."""
-    from .read import keys  # gives the unit of each key; imports the language, which only this function needs
+    from .read import section_keys  # gives the unit of each key; imports the language, which only this function needs
 
-    return _shown(getattr(value, field), str(keys(type(value))[field].hint))
+    return _format_value(getattr(value, field), str(section_keys(type(value))[field].type_hint))
 
 
-def _shown(value: Any, hint: str) -> str:
+def _format_value(value: Any, hint: str) -> str:
     if isinstance(value, list):
-        return "[" + ", ".join(_shown(item, hint) for item in value) + "]"
+        return "[" + ", ".join(_format_value(item, hint) for item in value) + "]"
     if value is None or isinstance(value, bool):
         return str(value)
     if isinstance(value, str):
         return f'"{value}"'
     for unit in ("time", "size", "rate", "share"):
         if f"'unit': '{unit}'" in hint:
-            return written(Quantity(_exact(value), Dimension(unit)))
-    return written(_exact(value))
+            return format_amount(Quantity(_to_fraction(value), Dimension(unit)))
+    return format_amount(_to_fraction(value))
 
 
-def _exact(value: int | float) -> Fraction:
+def _to_fraction(value: int | float) -> Fraction:
     return Fraction(value) if isinstance(value, int) else Fraction(repr(value))
 
 
-def _summary(value: Section) -> str:
-    return ", ".join(f"{field} = {shown(value, field)}" for field in value.__struct_fields__
+def _summarize(value: Section) -> str:
+    return ", ".join(f"{field} = {format_field(value, field)}" for field in value.__struct_fields__
                      if field != "name" and getattr(value, field) is not None)
 
 
-def script(plan: Plan) -> str:
+def to_script(plan: Plan) -> str:
     """Returns a script that means the same as the plan, with every expression, loop and load evaluated.
 
     Keys that have their default value are left out.
     """
-    from ..language.format import formatted
+    from ..language.format import format_source
 
     rows = []
     for entry in plan.entries:
@@ -153,6 +153,6 @@
                 default_value = default.factory()
             if default_value is msgspec.NODEFAULT or getattr(value, field) != default_value:
                 name = "" if field in value.positional else f"{field} = "
-                arguments.append(name + shown(value, field))
-        rows.append(f"{value.word}({', '.join(arguments[::-1])})")
-    return formatted("\n".join(rows) + "\n", "plan") if rows else ""
+                arguments.append(name + format_field(value, field))
+        rows.append(f"{value.section_name}({', '.join(arguments[::-1])})")
+    return format_source("\n".join(rows) + "\n", "plan") if rows else ""
--- a/hollystage/plan/compiled.py
+++ b/hollystage/plan/compiled.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
-from .model import Plan, packed, unpacked
+from .model import Plan, from_rows, to_rows
 
-FORM, MAGIC = 2, b"hollystage-plan"
-LARGEST = 64 << 20  # bytes of a compiled plan
-KEY_SIZE = 32
+FORMAT_VERSION, MAGIC = 2, b"hollystage-plan"
+MAX_PLAN_BYTES = 64 << 20  # bytes of a compiled plan
+MIN_KEY_BYTES = 32
 
 
-class Damaged(ValueError):
+class UnusableFileError(ValueError):
     """A compiled plan or a key file cannot be used; the message says why."""
 
 
@@ -38,13 +38,13 @@
     """
     try:
         if stat.S_IMODE(os.stat(path).st_mode) & 0o077:
-            raise Damaged(f"{path} is accessible to users other than its owner: set its mode to 600")
+            raise UnusableFileError(f"{path} is accessible to users other than its owner: set its mode to 600")
         with open(path, "rb") as file:
             data = file.read(4096)
     except OSError as bad:
-        raise Damaged(f"{path} cannot be read: {bad.strerror}") from bad
-    if len(data) < KEY_SIZE:
-        raise Damaged(f"{path} is shorter than {KEY_SIZE} bytes")
+        raise UnusableFileError(f"{path} cannot be read: {bad.strerror}") from bad
+    if len(data) < MIN_KEY_BYTES:
+        raise UnusableFileError(f"{path} is shorter than {MIN_KEY_BYTES} bytes")
     return digest(data, None)
 
 
@@ -57,9 +57,9 @@
 
 def dump(plan: Plan, version: str, key: bytes | None = None) -> bytes:
     """Encodes a plan, with a keyed digest if there is a key. `version` is that of the program which builds it."""
-    body = msgspec.msgpack.encode(Body(version, plan.files, packed(plan)))
+    body = msgspec.msgpack.encode(Body(version, plan.files, to_rows(plan)))
     kind = b"keyed" if key is not None else b"plain"
-    return b"%s %d %s %s\n" % (MAGIC, FORM, kind, digest(body, key).hex().encode()) + body
+    return b"%s %d %s %s\n" % (MAGIC, FORMAT_VERSION, kind, digest(body, key).hex().encode()) + body
 
 
 def is_compiled(data: bytes) -> bool:
@@ -76,19 +76,19 @@
     header, newline, body = data.partition(b"\n")
     fields = header.split(b" ")
     if len(fields) != 4 or fields[0] != MAGIC or not newline or not fields[1].isdigit():
-        raise Damaged("not a compiled plan: its header cannot be read")
-    if int(fields[1]) != FORM:
-        raise Damaged(f"a compiled plan of format {int(fields[1])}, this version reads format {FORM}: build it again")
+        raise UnusableFileError("not a compiled plan: its header cannot be read")
+    if int(fields[1]) != FORMAT_VERSION:
+        raise UnusableFileError(f"a compiled plan of format {int(fields[1])}, this version reads format {FORMAT_VERSION}: build it again")
     if fields[2] not in (b"keyed", b"plain"):
-        raise Damaged("not a compiled plan: its header cannot be read")
+        raise UnusableFileError("not a compiled plan: its header cannot be read")
     if fields[2] == b"keyed" and key is None:
-        raise Damaged("a compiled plan with a keyed digest: specify the key file")
+        raise UnusableFileError("a compiled plan with a keyed digest: specify the key file")
     if fields[2] != b"keyed" and key is not None:
-        raise Damaged("a compiled plan without a keyed digest: build it with the key")
+        raise UnusableFileError("a compiled plan without a keyed digest: build it with the key")
     if not hmac.compare_digest(digest(body, key if fields[2] == b"keyed" else None).hex().encode(), fields[3]):
-        raise Damaged("a compiled plan whose digest is wrong: truncated, altered or built with another key")
+        raise UnusableFileError("a compiled plan whose digest is wrong: truncated, altered or built with another key")
     try:
         content = msgspec.msgpack.decode(body, type=Body)
-        return unpacked(content.rows, content.files)
+        return from_rows(content.rows, content.files)
     except (msgspec.DecodeError, ValueError) as bad:
-        raise Damaged(f"a compiled plan that this version cannot use: {bad}") from bad
+        raise UnusableFileError(f"a compiled plan that this version cannot use: {bad}") from bad
--- a/hollystage/plan/fleetwide.py
+++ b/hollystage/plan/fleetwide.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta
 
-from .sections import Count, Name, Section, Share, Time, Trouble, register
+from .sections import Count, Name, Problem, Section, Share, Time, register
 
 Voters = Annotated[list[Name], Meta(max_length=7, extra={"fix": "name 3, 5 or 7 instances"})]
 Drift = Annotated[float, Meta(ge=0, le=0.2, extra={"unit": "share"})]
@@ -19,14 +19,14 @@
     A change adds one voter or removes one; `before` are the voters of the previous generation.
     """
 
-    word = "leases"
+    section_name = "leases"
     voters: Voters
     before: Voters = []
     generation: Units = 0
     length: Annotated[int, Meta(ge=500_000, le=600_000_000, extra={"unit": "time"})] = 3_000_000
     drift: Drift = 0.01
 
-    def troubles(self) -> Iterator[Trouble]:
+    def problems(self) -> Iterator[Problem]:
         if not self.voters or len(set(self.voters)) < len(self.voters):
             yield "voters", "no voters, or a voter listed twice", "name 3, 5 or 7 instances"
         if self.before and len(set(self.before) ^ set(self.voters)) != 1:
@@ -50,7 +50,7 @@
         kept: share of the units that is kept back for instances that join.
     """
 
-    word, positional, many = "budget", ("name",), True
+    section_name, positional, allows_multiple = "budget", ("name",), True
     name: Annotated[str, Meta(pattern=r"^[A-Za-z0-9._-]{1,32}$", extra={"fix": "use up to 32 letters and digits"})]
     whole: Count
     of: Literal["calls"] = "calls"
--- a/hollystage/plan/model.py
+++ b/hollystage/plan/model.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from ..settings import GAUGES, KINDS
+from ..settings import GAUGE_NAMES, METHOD_KINDS
 from . import sections
 from .sections import SECTIONS, Section
 
 S = TypeVar("S", bound=Section)
-KIND_WORDS = {kind.value: platform_name for platform_name, kind in KINDS.items()}
-GAUGE_WORDS = {plan_name: platform_name for platform_name, plan_name in GAUGES.items()}
+PLATFORM_METHOD_KINDS = {kind.value: platform_name for platform_name, kind in METHOD_KINDS.items()}
+PLATFORM_GAUGE_NAMES = {plan_name: platform_name for platform_name, plan_name in GAUGE_NAMES.items()}
 
 
 class Entry(msgspec.Struct, frozen=True):
@@ -32,36 +32,36 @@
     entries: list[Entry] = []
     files: list[str] = []  # the script and the files that it loads, the script first
 
-    def of(self, kind: type[S]) -> list[S]:
+    def all_of(self, kind: type[S]) -> list[S]:
         """All entries of a section, in the order of the plan."""
         return [entry.value for entry in self.entries if isinstance(entry.value, kind)]
 
-    def one(self, kind: type[S]) -> S | None:
+    def first_of(self, kind: type[S]) -> S | None:
         """The first entry of a section, or None."""
-        found = self.of(kind)
+        found = self.all_of(kind)
         return found[0] if found else None
 
-    def idle(self) -> list[str]:
+    def sections_without_effect(self) -> list[str]:
         """The names of sections in the plan that this version checks but does not use."""
-        return sorted({entry.value.word for entry in self.entries if not entry.value.acts})
+        return sorted({entry.value.section_name for entry in self.entries if not entry.value.has_effect})
 
     def configuration(self) -> dict[str, Any]:
         """The plan in the keys of the platform's JSON, without keys that the plan does not set."""
-        return {key: value for key, value in self._keys() if value is not None}
+        return {key: value for key, value in self._config_items() if value is not None}
 
-    def _keys(self) -> Iterator[tuple[str, Any]]:
-        instance = self.one(sections.Instance)
+    def _config_items(self) -> Iterator[tuple[str, Any]]:
+        instance = self.first_of(sections.Instance)
         if instance is not None:
             yield "name", instance.name
             yield "seed", instance.seed
             yield "stop_ms", instance.stop / 1000
-        listener, interpreter = self.one(sections.Listener), self.one(sections.Interpreter)
-        control, ledger = self.one(sections.ControlPlane), self.one(sections.Ledger)
+        listener, interpreter = self.first_of(sections.Listener), self.first_of(sections.Interpreter)
+        control, ledger = self.first_of(sections.ControlPlane), self.first_of(sections.Ledger)
         yield "listen", listener and listener.address
         yield "vm", interpreter and interpreter.address
         yield "control", control and control.address
         yield "ledger", ledger and ledger.address
-        process = self.one(sections.Process)
+        process = self.first_of(sections.Process)
         if process is not None:
             yield "limits", {"cores": process.cores, "memory_mb": process.memory / (1 << 20),
                              "sockets": process.sockets}
@@ -72,39 +72,39 @@
 
         `Deployment` (hollystage.settings) is its schema.
         """
-        machine, rules, methods = self.one(sections.Machine), self.one(sections.Rules), self.of(sections.Method)
+        machine, rules, methods = self.first_of(sections.Machine), self.first_of(sections.Rules), self.all_of(sections.Method)
         if machine is None or rules is None or not methods:
             return None
-        refusals = self.one(sections.Refusals) or sections.Refusals()
-        fleet = self.one(sections.Fleet) or sections.Fleet()
-        tenants = self.of(sections.Tenant)
+        refusals = self.first_of(sections.Refusals) or sections.Refusals()
+        fleet = self.first_of(sections.Fleet) or sections.Fleet()
+        tenants = self.all_of(sections.Tenant)
         return {
             "Domain": {
                 "Cores": machine.cores, "RamKb": machine.memory / 1024, "RunFactor": machine.run_factor,
                 "KeyKb": machine.key / 1024, "ClassSkipWorth": [m.skip_share for m in methods],
                 "Cold": machine.cold, "Halt": machine.halt, "Say": machine.say, "CallsOut": machine.calls_out,
                 "DependsOn": machine.below,
-                "StaysForUs": machine.linger, "Gauges": [GAUGE_WORDS[gauge] for gauge in machine.gauges],
+                "StaysForUs": machine.linger, "Gauges": [PLATFORM_GAUGE_NAMES[gauge] for gauge in machine.gauges],
                 "IdleUs": machine.idle},
             "Rules": {
                 "FallMultiple": rules.fall_multiple, "StopSendingWithinUs": rules.drain_grace,
                 "ColdFrom": rules.cold_from, "WarmAfterUs": rules.warm_after},
             "Limits": {"RetryAfter": refusals.retry_after, "MaxRetryAfterUs": refusals.longest},
             "Profiles": [
-                {"Name": m.name, "Repeat": KIND_WORDS[m.kind], "Value": m.criticality, "PromiseUs": m.target,
+                {"Name": m.name, "Repeat": PLATFORM_METHOD_KINDS[m.kind], "Value": m.criticality, "PromiseUs": m.target,
                  "GiveUpUs": m.deadline, "WindowUs": m.window} for m in methods],
             "Tenants": [{"QuotaPerS": tenant.quota or 0} for tenant in tenants] or None,
             "PeersTotal": fleet.instances, "OverShareWorth": fleet.over_share,
             "WorthBy": fleet.worth_by}
 
 
-def packed(plan: Plan) -> list[Any]:
+def to_rows(plan: Plan) -> list[Any]:
     """The plan as plain lists and dicts: (section name, values, origin, origins of the keys) for each entry."""
-    return [[entry.value.word, msgspec.to_builtins(entry.value), entry.origin, entry.origins]
+    return [[entry.value.section_name, msgspec.to_builtins(entry.value), entry.origin, entry.origins]
             for entry in plan.entries]
 
 
-def unpacked(rows: Any, files: list[str]) -> Plan:
+def from_rows(rows: Any, files: list[str]) -> Plan:
     """The plan from the rows of `to_rows`.
 
     Raises:
--- a/hollystage/plan/sections.py
+++ b/hollystage/plan/sections.py
@@ -20,20 +20,20 @@
 Pattern = Annotated[str, Meta(min_length=1, max_length=128, pattern=r"^[\x21-\x29\x2b-\x7e]*\*?$",
                               extra={"fix": "use 1 to 128 characters, a * at the end only"})]
 Time = Annotated[int, Meta(ge=1, le=86_400_000_000, extra={"unit": "time"})]
-TimeOrNone = Annotated[int, Meta(ge=0, le=86_400_000_000, extra={"unit": "time"})]
+TimeOrZero = Annotated[int, Meta(ge=0, le=86_400_000_000, extra={"unit": "time"})]
 Size = Annotated[int, Meta(ge=1, le=1 << 50, extra={"unit": "size"})]
-SizeOrNone = Annotated[int, Meta(ge=0, le=1 << 50, extra={"unit": "size"})]
+SizeOrZero = Annotated[int, Meta(ge=0, le=1 << 50, extra={"unit": "size"})]
 Rate = Annotated[float, Meta(gt=0, le=1e9, extra={"unit": "rate"})]
 Share = Annotated[float, Meta(ge=0, le=1, extra={"unit": "share"})]
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
-Amount = Annotated[float, Meta(ge=0, le=1e9)]
+NonNegative = Annotated[float, Meta(ge=0, le=1e9)]
 Positive = Annotated[float, Meta(gt=0, le=1e9)]
 MethodName = Annotated[str, Meta(extra={"ref": "method"})]
 TenantName = Annotated[str, Meta(extra={"ref": "tenant"})]
 LedgerName = Annotated[str, Meta(extra={"ref": "ledger"})]
 PoolName = Annotated[str, Meta(extra={"ref": "pool"})]
 
-Trouble = tuple[str, str, str]  # the key, what is wrong, how to fix it
+Problem = tuple[str, str, str]  # the key, what is wrong, how to fix it
 
 
 class Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -47,17 +47,17 @@
         has_effect: whether this version uses the section; otherwise it only checks it.
     """
 
-    word: ClassVar[str] = ""
+    section_name: ClassVar[str] = ""
     positional: ClassVar[tuple[str, ...]] = ()
-    many: ClassVar[bool] = False
-    live: ClassVar[tuple[str, ...]] = ()
-    acts: ClassVar[bool] = True
+    allows_multiple: ClassVar[bool] = False
+    reloadable: ClassVar[tuple[str, ...]] = ()
+    has_effect: ClassVar[bool] = True
 
     def title(self) -> str:
         """The name of the entry in messages; empty for a section with only one entry."""
         return str(getattr(self, "name", ""))
 
-    def troubles(self) -> Iterator[Trouble]:
+    def problems(self) -> Iterator[Problem]:
         """Checks the keys of one entry against each other."""
         return iter(())
 
@@ -65,7 +65,7 @@
 class Instance(Section, frozen=True):
     """The instance: its name on the control plane, its random seed, and the time from SIGTERM to SIGKILL (`stop`)."""
 
-    word, positional = "instance", ("name",)
+    section_name, positional = "instance", ("name",)
     name: Name
     seed: Annotated[str, Meta(pattern=r"^[0-9a-fA-F]{1,16}$", extra={"fix": "use up to 16 hex digits"})] = "0"
     stop: Time = 3_000_000
@@ -74,7 +74,7 @@
 class Listener(Section, frozen=True):
     """An address on which the instance accepts client connections."""
 
-    word, positional, many = "listener", ("address",), True
+    section_name, positional, allows_multiple = "listener", ("address",), True
     address: Address
     protocol: Literal["http"] = "http"
 
@@ -85,21 +85,21 @@
 class Interpreter(Section, frozen=True):
     """The address of the interpreter, which executes RPCs."""
 
-    word, positional, live = "interpreter", ("address",), ("*",)
+    section_name, positional, reloadable = "interpreter", ("address",), ("*",)
     address: Address
 
 
 class ControlPlane(Section, frozen=True):
     """The address of the control plane, to which the instance reports its health."""
 
-    word, positional, live = "control", ("address",), ("*",)
+    section_name, positional, reloadable = "control", ("address",), ("*",)
     address: Address
 
 
 class Ledger(Section, frozen=True):
     """A ledger, the target of downstream calls."""
 
-    word, positional, many, live = "ledger", ("name", "address"), True, ("address",)
+    section_name, positional, allows_multiple, reloadable = "ledger", ("name", "address"), True, ("address",)
     name: Name
     address: Address
 
@@ -107,12 +107,12 @@
 class Process(Section, frozen=True):
     """The resources that this process itself may use: cores, memory in bytes, sockets."""
 
-    word = "process"
+    section_name = "process"
     cores: Positive = 1.0
     memory: Annotated[int, Meta(ge=32 << 20, le=1 << 50, extra={"unit": "size"})] = 192 << 20
     sockets: Annotated[int, Meta(ge=32, le=1_000_000)] = 1024
 
-    def troubles(self) -> Iterator[Trouble]:
+    def problems(self) -> Iterator[Problem]:
         # measured: 30 MiB for the program and 60 KiB for each connection when the connection table is full
         needed = (30 << 20) + self.sockets * 11 // 16 * (60 << 10)
         if needed > self.memory:
@@ -138,21 +138,21 @@
         idle: longest idle time of a kept client connection, 0 for no limit.
     """
 
-    word = "machine"
+    section_name = "machine"
     cores: Annotated[int, Meta(ge=1, le=4096)]
     memory: Size
     run_factor: Positive
-    key: SizeOrNone = 0
+    key: SizeOrZero = 0
     cold: bool = False
     halt: Literal["none", "abort", "suspend"] = "none"
     say: Literal["none", "threshold", "window", "share_of"] = "none"
-    calls_out: Amount = 0
+    calls_out: NonNegative = 0
     below: Literal["shared", "tier", "none"] = "shared"
-    linger: TimeOrNone = 0
+    linger: TimeOrZero = 0
     gauges: list[Literal["cores", "crowd", "memory", "connections"]] = []
-    idle: TimeOrNone = 0
+    idle: TimeOrZero = 0
 
-    def troubles(self) -> Iterator[Trouble]:
+    def problems(self) -> Iterator[Problem]:
         if self.key * 10 > self.memory:
             yield ("key", "the results of ten RPCs with idempotency keys would fill the machine's memory",
                    "make it smaller, or raise memory")
@@ -171,11 +171,11 @@
         warm_after: time after which a cold instance has its usual speed.
     """
 
-    word = "rules"
+    section_name = "rules"
     fall_multiple: Positive
-    drain_grace: TimeOrNone
+    drain_grace: TimeOrZero
     cold_from: Share = 1.0
-    warm_after: TimeOrNone = 0
+    warm_after: TimeOrZero = 0
 
 
 class Refusals(Section, frozen=True):
@@ -184,12 +184,12 @@
     With `promises`, such a time reserves a slot for the retry, as long as there are slots to reserve.
     """
 
-    word = "refusals"
+    section_name = "refusals"
     retry_after: bool = False
-    longest: TimeOrNone = 0
+    longest: TimeOrZero = 0
     promises: bool = False
 
-    def troubles(self) -> Iterator[Trouble]:
+    def problems(self) -> Iterator[Problem]:
         if self.retry_after and not self.longest:
             yield "retry_after", "retry_after with a longest time of 0", "add longest = 1s"
         if self.promises and not self.retry_after:
@@ -208,7 +208,7 @@
         period: the interval between probes of the membership protocol.
     """
 
-    word = "fleet"
+    section_name = "fleet"
     instances: Count = 1
     over_share: Share = 1.0
     worth_by: Literal["request", "work"] = "request"
@@ -221,7 +221,7 @@
     key: Path | None = None
     period: Annotated[int, Meta(ge=50_000, le=60_000_000, extra={"unit": "time"})] = 500_000
 
-    def troubles(self) -> Iterator[Trouble]:
+    def problems(self) -> Iterator[Problem]:
         if self.bind is None:
             for key in ("advertise", "peers", "key"):
                 if getattr(self, key):
@@ -235,7 +235,7 @@
 class State(Section, frozen=True):
     """The folder with the state that outlives the process. Each instance needs one of its own."""
 
-    word, positional = "state", ("path",)
+    section_name, positional = "state", ("path",)
     path: Path
     every: Time = 2_000_000  # interval between snapshots of the learned statistics
 
@@ -248,22 +248,22 @@
         skip_share: share of the criticality that remains if the downstream call is skipped; 0 if it cannot be.
     """
 
-    word, positional, many = "method", ("name",), True
+    section_name, positional, allows_multiple = "method", ("name",), True
     name: Annotated[str, Meta(pattern=r"^[\x21-\x24\x26-\x2e\x30-\x3e\x40-\x7e]{1,64}$",
                               extra={"fix": "use up to 64 characters, no space, %, / or ?"})]
     kind: Literal["idempotent", "tokened", "non-idempotent"]
     target: Time
     deadline: Time
-    window: TimeOrNone = 0
-    criticality: Amount = 1.0
+    window: TimeOrZero = 0
+    criticality: NonNegative = 1.0
     skip_share: Share = 0.0
 
-    def troubles(self) -> Iterator[Trouble]:
+    def problems(self) -> Iterator[Problem]:
         from ..language.units import TIME, Quantity  # noqa: PLC0415  # the language is imported only to check a script
         if self.target > self.deadline:
             yield "target", "a latency target past the deadline", "make it shorter than the deadline"
         if self.kind == "tokened":
-            deadline = Quantity(_fraction(self.deadline), TIME)
+            deadline = Quantity(_to_fraction(self.deadline), TIME)
             if not self.window:
                 yield "kind", 'kind "tokened" without a window', "add window = ..., at least the deadline"
             elif self.window < self.deadline:
@@ -278,7 +278,7 @@
 class Tenant(Section, frozen=True):
     """A sender of RPCs, with its quota in RPCs per second."""
 
-    word, positional, many = "tenant", ("name",), True
+    section_name, positional, allows_multiple = "tenant", ("name",), True
     name: Name
     quota: Rate | None = None
 
@@ -286,7 +286,7 @@
 class Route(Section, frozen=True):
     """Assigns RPCs to a pool, and their downstream calls to a ledger. The first route that matches is used."""
 
-    word, many, live, acts = "route", True, ("*",), False
+    section_name, allows_multiple, reloadable, has_effect = "route", True, ("*",), False
     method: MethodName | None = None
     tenant: TenantName | None = None
     object: Pattern | None = None
@@ -296,7 +296,7 @@
     def title(self) -> str:
         return " ".join(part or "*" for part in (self.method, self.tenant, self.object))
 
-    def troubles(self) -> Iterator[Trouble]:
+    def problems(self) -> Iterator[Problem]:
         if self.pool is None and self.ledger is None:
             yield "", "a route without a pool or a ledger", "add pool = ... or ledger = ..."
 
@@ -314,7 +314,7 @@
         limit: policy of the pool's own limit on concurrent calls; None for no such limit.
     """
 
-    word, positional, many, live = "pool", ("name",), True, ("*",)
+    section_name, positional, allows_multiple, reloadable = "pool", ("name",), True, ("*",)
     name: Name
     guaranteed: Share
     methods: list[MethodName] = []
@@ -325,7 +325,7 @@
     floor: Rate = 1.0
     limit: Literal["window", "aimd", "gradient", "queue", "delivery"] | None = None
 
-    def troubles(self) -> Iterator[Trouble]:
+    def problems(self) -> Iterator[Problem]:
         if self.ceiling < self.guaranteed:
             yield "ceiling", "a ceiling below the guaranteed share", "raise it"
         if self.heir == self.name:
@@ -335,7 +335,7 @@
 class Reserve(Section, frozen=True):
     """Shares of the run limit, memory and downstream calls that are kept for the cheapest work under any load."""
 
-    word, live = "reserve", ("running", "memory", "calls")
+    section_name, reloadable = "reserve", ("running", "memory", "calls")
     running: Share = 0.0
     memory: Share = 0.0
     calls: Share = 0.0
@@ -344,7 +344,7 @@
 class Limit(Section, frozen=True):
     """The limit on concurrent calls to a ledger, and the policy that adapts it."""
 
-    word, positional, many = "limit", ("ledger",), True
+    section_name, positional, allows_multiple = "limit", ("ledger",), True
     ledger: LedgerName
     policy: Literal["window", "aimd", "gradient", "queue", "delivery", "fixed"] = "aimd"
     least: Count = 1
@@ -353,7 +353,7 @@
     def title(self) -> str:
         return self.ledger
 
-    def troubles(self) -> Iterator[Trouble]:
+    def problems(self) -> Iterator[Problem]:
         if self.least > self.most:
             yield "least", "least is greater than most", "lower it"
 
@@ -361,7 +361,7 @@
 class Retry(Section, frozen=True):
     """Retries of calls to a ledger: attempts for each call, and a budget in proportion to first attempts."""
 
-    word, positional, many, live, acts = "retry", ("ledger",), True, ("*",), False
+    section_name, positional, allows_multiple, reloadable, has_effect = "retry", ("ledger",), True, ("*",), False
     ledger: LedgerName
     tries: Annotated[int, Meta(ge=1, le=5)] = 2
     budget: Share = 0.1
@@ -374,7 +374,7 @@
 class Hedge(Section, frozen=True):
     """Hedged calls: a second call is made when the first takes longer than a quantile of all calls."""
 
-    word, positional, many, live, acts = "hedge", ("method",), True, ("*",), False
+    section_name, positional, allows_multiple, reloadable, has_effect = "hedge", ("method",), True, ("*",), False
     method: MethodName
     quantile: Share = 0.95
     budget: Share = 0.05
@@ -383,7 +383,7 @@
         return self.method
 
 
-def _fraction(value: int) -> Any:
+def _to_fraction(value: int) -> Any:
     from fractions import Fraction
     return Fraction(value)
 
@@ -398,9 +398,9 @@
         ValueError: another section has the same name.
     """
     for section in sections:
-        if not section.word or SECTIONS.get(section.word, section) is not section:
-            raise ValueError(f"the section {section.word!r} is already registered")
-        SECTIONS[section.word] = section
+        if not section.section_name or SECTIONS.get(section.section_name, section) is not section:
+            raise ValueError(f"the section {section.section_name!r} is already registered")
+        SECTIONS[section.section_name] = section
 
 
 register(Instance, Listener, Interpreter, ControlPlane, Ledger, Process, Machine, Rules, Refusals, Fleet, State,
--- a/hollystage/policy/buckets.py
+++ b/hollystage/policy/buckets.py
@@ -11,48 +11,48 @@
 
 TICK = 50_000  # period of tick(); an RPC that falls due before the next tick is answered at this one
 # decay spans: of arrival rates and costs; of unread times and rejections
-SPAN, RECENT = 4_000_000, 1_000_000
-BUCKETS, FEWEST = 2, 4.0  # nested buckets of a client; minimum capacity of one, tokens
+DECAY_SPAN, RECENT_SPAN = 4_000_000, 1_000_000
+BUCKETS, MIN_TOKENS = 2, 4.0  # nested buckets of a client; minimum capacity of one, tokens
 # rate of a bucket over that of the next inner one; delta of the tail class over that of the outermost bucket
-WIDER, TAIL = 1.25, 1.5
+RATE_GROWTH, TAIL_DELTA_FACTOR = 1.25, 1.5
 # completions a second and core that are assumed before any is measured; weight of one such run in later means
-GENEROUS, FORGET = 20.0, 0.3
+INITIAL_RATE, PRIOR_WEIGHT = 20.0, 0.3
 # CPU gauge: rejection of the outermost class begins at the first and ends below the second
-HIGH, LOW = 0.95, 0.85
+HIGH_CPU, LOW_CPU = 0.95, 0.85
 # shares that may be used: of the number of started RPCs at which throughput collapses; of the memory, by RPCs
 # and idempotency keys
-HEADROOM, FULL = 0.8, 0.85
+CONCURRENCY_HEADROOM, MEMORY_HEADROOM = 0.8, 0.85
 # a call is slow at this multiple of the usual time; a tick this late means that the process was suspended
-SLOW, LATE = 3.0, 30_000
+SLOW_CALL_FACTOR, STALL_THRESHOLD = 3.0, 30_000
 # share of slow or lost replies up to which the dependency counts as healthy; multiple of the usual time after
 # which a call that may be repeated counts as lost
-ODD, SILENT = 0.4, 30.0
+MAX_ODD_SHARE, LOST_CALL_FACTOR = 0.4, 30.0
 # multiple of the usual cost that must fit before the target while many RPCs are rejected; multiple of the
 # highest usual cost that the cores may go without progress before they count as hung
-CHOOSY, HANG = 1.3, 4.0
+STRICT_COST_FACTOR, HANG_FACTOR = 1.3, 4.0
 # reading is expensive where RPCs lie unread for this share of a target, or where it uses this share of cores
-UNREAD, BLIND = 0.05, 0.15
+MAX_UNREAD_SHARE, READING_CORE_SHARE = 0.05, 0.15
 # share of the read RPCs that is rejected: above the first a retry elsewhere has little chance, above the
 # second callers send far more than the instance can take
-BOUNCED, FLOOD = 0.25, 0.7
+HIGH_REJECT_SHARE, FLOOD_REJECT_SHARE = 0.25, 0.7
 # histogram of caller timeouts: bins over a method's deadline; share that a bin and the next one must hold to
 # count as a timeout of first attempts; factor by which counts decay at each first attempt
-BINS, COMMON, STAY = 50, 0.125, 0.998
+TIMEOUT_BINS, COMMON_BIN_SHARE, HISTOGRAM_DECAY = 50, 0.125, 0.998
 
 # events that resume the lifecycle of an RPC, beside the outcomes of runs and calls
 START, DROP, OVERDUE, GONE, AT_CALL, GO, SKIP = "start drop overdue gone at_call go skip".split()
 # outcomes that prove that a call was not executed; outcomes after which it may have been
-UNSEEN, LOST = (Outcome.FULL, Outcome.CONNECT_FAILED), (Outcome.TIMEOUT, Outcome.RESET)
+NOT_EXECUTED, REPLY_LOST = (Outcome.FULL, Outcome.CONNECT_FAILED), (Outcome.TIMEOUT, Outcome.RESET)
 # states of an RPC; the strings appear in logs
-HELD, RUNNING, CALLING, WAITING, JOINED, OVER = "held running calling waiting joined over".split()
+QUEUED, RUNNING, CALLING, WAITING, JOINED, DONE = "held running calling waiting joined over".split()
 
-Line = list[tuple[int, int, Rpc]]  # a heap of (time or finish tag, sequence number, RPC)
+RpcQueue = list[tuple[int, int, Rpc]]  # a heap of (time or finish tag, sequence number, RPC)
 
 
-class Decaying:
+class DecayingSum:
     """A sum and a count that decay exponentially with the time constant `span`, updated lazily on access."""
 
-    def __init__(self, now: int, span: int = SPAN) -> None:
+    def __init__(self, now: int, span: int = DECAY_SPAN) -> None:
         self.sum, self.count, self.at, self.span = 0.0, 0.0, now, span
 
     def read(self, now: int) -> float:
@@ -80,15 +80,15 @@
 
     def __init__(self, tenant: Tenant | None, method: Method, rho: float, now: int) -> None:
         self.tenant, self.method, self.rho, self.at = tenant, method, rho, now
-        self.arrivals = Decaying(now)
+        self.arrivals = DecayingSum(now)
         first, last = method.latency_target, max(method.deadline, method.latency_target)
         self.deltas = [first + (last - first) * j // (BUCKETS - 1) for j in range(BUCKETS)]
-        self.deltas.append(int(last * TAIL))
+        self.deltas.append(int(last * TAIL_DELTA_FACTOR))
         self.tokens = [self.sigma(j) for j in range(BUCKETS)]
 
     def sigma(self, j: int) -> float:
         """Capacity of bucket j, tokens."""
-        return max(FEWEST, self.rho * WIDER ** j * self.deltas[j] / 1e6)
+        return max(MIN_TOKENS, self.rho * RATE_GROWTH ** j * self.deltas[j] / 1e6)
 
     def classify(self, now: int) -> int:
         """Class level of an arriving RPC: the innermost bucket with a token, BUCKETS + 1 for the tail.
@@ -97,7 +97,7 @@
         """
         level = BUCKETS
         for j in reversed(range(BUCKETS)):
-            refilled = self.tokens[j] + self.rho * WIDER ** j * (now - self.at) / 1e6
+            refilled = self.tokens[j] + self.rho * RATE_GROWTH ** j * (now - self.at) / 1e6
             self.tokens[j] = min(self.sigma(j), refilled)
             if level == j + 1 and self.tokens[j] >= 1:
                 level = j
--- /dev/null
+++ b/hollystage/policy/queues.py
@@ -0,0 +1,129 @@
+"""State of the decision module, its queues, and the transitions of an RPC between states."""
+from __future__ import annotations
+
+from heapq import heappop, heappush
+from typing import Any
+
+from ..decisions.calls.limits import make_limit
+from ..decisions.calls.pacing import Pacer
+from ..decisions.calls.pools import AWAITING_CALL, IN_CALL, NO_POOL, NOT_STARTED, ON_CORES, Pools
+from ..decisions.comeback.retry_calendar import RetryCalendar
+from ..decisions.stall_detector import StallDetector
+from ..interface import Action, Method, Rpc, Settings, Tenant
+from .buckets import *
+
+# default bounds of the call limit, as shares of the concurrent calls that this instance may make
+MIN_LIMIT_SHARE, MAX_LIMIT_SHARE = 0.1, 0.9
+POOL_STATES = {RUNNING: ON_CORES, WAITING: AWAITING_CALL, CALLING: IN_CALL}  # states in which an RPC takes a slot of its pool
+
+
+class Queues:
+    """State of the decision module and its basic operations on queues and states."""
+
+    def __init__(self, settings: Settings, now: int) -> None:
+        self.settings, self.started_at, self.now = settings, now, now
+        self.actions: list[Action] = []
+        self.due_queue: RpcQueue = []
+        self.key_expiries: RpcQueue = []
+        self.method_numbers = {method: number for number, method in enumerate(settings.methods)}
+        self.pools: Pools | None = None
+        self.calendar = RetryCalendar(settings.max_retry_after) if settings.promises else None
+        self.room_elsewhere = False  # whether peers report spare capacity
+        # queues for the cores and for downstream calls: one for each pool, then one more with the cheapest
+        # work of all pools, which is also in the queue of its pool
+        self.run_queues: list[RpcQueue] = [[]]
+        self.call_queues: list[RpcQueue] = [[]]
+        self.live_keys: set[Rpc] = set()
+        self.state_counts = dict.fromkeys((QUEUED, RUNNING, CALLING, WAITING, JOINED, DONE), 0)
+        self.memory = self.other_runnable = self.cpu_busy = self.usual_call = 0.0
+        self.run_limit = float(settings.cores)
+        self.clients: dict[tuple[Tenant | None, Method], Client] = {}
+        self.run_times, self.reject_ages, self.off_core_times = ({m: DecayingSum(now) for m in settings.methods} for _ in range(3))
+        self.timeout_histograms = {m: [0.0] * (TIMEOUT_BINS + 1) for m in settings.methods}
+        self.under_pressure, self.cores_hung, self.reading_late, self.healthy = False, False, False, True
+        self.last_seen: dict[int, int] = {}
+        self.idle_limit, self.returning_callers = settings.max_idle, DecayingSum(now, max(DECAY_SPAN, settings.max_idle))
+        self.unread_times, self.rejections, self.odd_replies, self.likely_retries, self.redirects = (
+            DecayingSum(now, RECENT_SPAN) for _ in range(5))
+        targets = [m.latency_target for m in settings.methods]
+        self.min_target, self.max_target = min(targets), max(targets)
+        lowest = min(m.criticality for m in settings.methods)
+        self.criticality_factor = {m: (lowest / m.criticality) ** 0.5 if m.criticality else 1.0 for m in settings.methods}
+        self.progress_at = self.rates_updated_at = self.hang_ended_at = self.cut_at = self.next_call_at = now
+        self.stop_at = self.grace_ends_at = self.sequence = 0
+        self.admit_level, self.sent_signal = 0.3 if settings.cold else 1.0, -1.0
+        # a tier of servers limits its own load and announces no share: the number of calls is bounded by the
+        # number of RPCs that this instance may start
+        concurrency = settings.cores * settings.fall_multiple
+        share, config = concurrency if settings.downstream_tier else max(0.01, settings.calls_out), settings.call_limit
+        max_limit = config.max_limit or share * MAX_LIMIT_SHARE
+        min_limit = min(max_limit, config.min_limit or share * MIN_LIMIT_SHARE)
+        self.call_limit = make_limit(config.policy, min(max_limit, share / 2), min_limit, max_limit, now)
+        self.stall_detector = StallDetector(STALL_THRESHOLD)
+        self.pace = DecayingSum(now)  # time on the cores for each microsecond of hinted work
+        self.lingering_calls: list[int] = []
+        self.pacer = Pacer(now, 0.0, settings.call_averaging_span)
+
+    def _set_state(self, rpc: Rpc, state: str) -> None:
+        """Changes the state of an RPC and the counts, memory and pool slots that depend on it."""
+        if rpc.state in (WAITING, CALLING):
+            rpc.off_core_time += self.now - rpc.state_since
+        if rpc.state == CALLING and state == DONE:
+            heappush(self.lingering_calls, self.now + self.settings.linger)
+        for changed, sign in ((rpc.state, -1), (state, 1)):
+            if changed:
+                self.state_counts[changed] += sign
+                weight = self.settings.run_factor if changed in (RUNNING, CALLING, WAITING) else changed != DONE
+                self.memory += sign * weight * rpc.size
+        if self.pools is not None:
+            self.pools.on_move(rpc, POOL_STATES.get(rpc.state, NOT_STARTED), POOL_STATES.get(state, NOT_STARTED), self.now)
+        rpc.state, rpc.state_since = state, self.now
+
+    def _push(self, queue: RpcQueue, at: int, rpc: Rpc) -> None:
+        """Puts an RPC on a heap; equal keys keep their order of arrival."""
+        self.sequence += 1
+        heappush(queue, (at, self.sequence, rpc))
+
+    def _resume(self, rpc: Rpc, event: Any) -> None:
+        """Sends `event` to the lifecycle of the RPC and runs it until it waits for the next event.
+
+        Events for an RPC that is over are ignored.
+        """
+        if rpc.lifecycle is None:
+            return
+        try:
+            while True:
+                action = rpc.lifecycle.send(event)
+                if action is None:
+                    return
+                self.actions.append(action)
+                if rpc.state in (RUNNING, CALLING, WAITING, JOINED):
+                    return
+                event = None
+        except StopIteration:
+            rpc.lifecycle, rpc.answered, rpc.earlier = None, True, None
+            self._set_state(rpc, DONE)
+
+    def _head(self, queue: RpcQueue, state: str) -> int | None:
+        """Smallest finish tag of the queue, after removing RPCs that are answered or no longer in `state`."""
+        while queue and (queue[0][2].state != state or queue[0][2].answered):
+            heappop(queue)
+        return queue[0][0] if queue else None
+
+    def _next_queue(self, queues: list[RpcQueue], state: str, limit: float, taken: int) -> RpcQueue | None:
+        """The queue whose first RPC may go on, or None. `taken` slots of `limit` are in use."""
+        heads = [self._head(queue, state) for queue in queues]
+        if self.pools is None:
+            return queues[0] if heads[0] is not None and taken + 1 <= limit else None
+        chosen = (self.pools.next_to_start if state == QUEUED else self.pools.next_to_call)(limit, heads, taken, self.now)
+        if chosen == NO_POOL:
+            return None
+        queues[chosen][0][2].uses_reserve = chosen == self.pools.count
+        return queues[chosen]
+
+    def _enqueue(self, queues: list[RpcQueue], rpc: Rpc) -> None:
+        """Puts an RPC into the queue of its pool and, if its method is cheap, also into the last queue."""
+        number = rpc.pool_ref.find() if rpc.pool_ref is not None and self.pools is not None else 0
+        self._push(queues[number], rpc.tag, rpc)
+        if self.pools is not None and self.pools.is_cheap(self.method_numbers[rpc.method]):
+            self._push(queues[-1], rpc.tag, rpc)
--- a/hollystage/service/buffers.py
+++ b/hollystage/service/buffers.py
@@ -7,32 +7,32 @@
 import time
 from math import ceil
 
-SPARE = 64  # more buffers, as after a burst of connections, are returned to the system
-SIZE = 16 * 1024  # fits the head and body of the largest message, or an interpreter line with the largest result
+MAX_FREE_BUFFERS = 64  # more buffers, as after a burst of connections, are returned to the system
+BUFFER_BYTES = 16 * 1024  # fits the head and body of the largest message, or an interpreter line with the largest result
 
 
-class Pool:
+class BufferPool:
     """Buffers for reuse. A connection releases its buffer at the one place where the connection ends."""
 
     def __init__(self) -> None:
         self.free: list[bytearray] = []
         self.lock = threading.Lock()
 
-    def take(self) -> bytearray:
+    def acquire(self) -> bytearray:
         """Returns a free buffer, or a new one."""
         with self.lock:
             if self.free:
                 return self.free.pop()
-        return bytearray(SIZE)
+        return bytearray(BUFFER_BYTES)
 
-    def give_back(self, buffer: bytearray) -> None:
+    def release(self, buffer: bytearray) -> None:
         """Returns a buffer to the pool."""
         with self.lock:
-            if len(self.free) < SPARE:
+            if len(self.free) < MAX_FREE_BUFFERS:
                 self.free.append(buffer)
 
 
-def bound(sock: socket.socket, option: int, seconds: float) -> None:
+def set_socket_timeout(sock: socket.socket, option: int, seconds: float) -> None:
     """Sets SO_RCVTIMEO or SO_SNDTIMEO, in seconds; 0 means no timeout. SO_SNDTIMEO also bounds connect().
 
     The kernel's timeout is used because with a timeout of Python's socket module every call polls first.
@@ -40,11 +40,11 @@
     sock.setsockopt(socket.SOL_SOCKET, option, struct.pack("ll", int(seconds), int(seconds % 1 * 1e6)))
 
 
-class TooLong(Exception):
+class MessageTooLongError(Exception):
     """The delimiter was not found within the size limit."""
 
 
-class Broken(Exception):
+class IncompleteMessageError(Exception):
     """The peer closed the connection within a message."""
 
 
@@ -54,9 +54,9 @@
     def __init__(self, sock: socket.socket, buffer: bytearray) -> None:
         self.sock, self.view, self.buffer = sock, memoryview(buffer), buffer
         self.start = self.end = 0  # of the received bytes that have not been consumed
-        self.limit = 0  # receive timeout set on the socket, in hundredths of a second; 0 means none
+        self.timeout_cs = 0  # receive timeout set on the socket, in hundredths of a second; 0 means none
 
-    def more(self, deadline: float | None) -> bool:
+    def fill(self, deadline: float | None) -> bool:
         """Receives whatever is available; returns False at the end of the stream.
 
         Raises:
@@ -67,15 +67,15 @@
             self.view[:self.end - self.start] = self.view[self.start:self.end]
             self.start, self.end = 0, self.end - self.start
         if self.end == len(self.view):
-            raise TooLong
+            raise MessageTooLongError
         timeout_cs = 0
         if deadline is not None:
             timeout_cs = ceil(100 * (deadline - time.monotonic()))
             if timeout_cs <= 0:
                 raise TimeoutError
-        if timeout_cs != self.limit:
-            self.limit = timeout_cs
-            bound(self.sock, socket.SO_RCVTIMEO, timeout_cs / 100)
+        if timeout_cs != self.timeout_cs:
+            self.timeout_cs = timeout_cs
+            set_socket_timeout(self.sock, socket.SO_RCVTIMEO, timeout_cs / 100)
         try:
             count = self.sock.recv_into(self.view[self.end:])
         except BlockingIOError:
@@ -83,15 +83,15 @@
         self.end += count
         return count > 0
 
-    def empty(self) -> bool:
+    def is_empty(self) -> bool:
         """Whether all received bytes are consumed."""
         return self.start == self.end
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """Drops the received bytes that are not consumed."""
         self.start = self.end = 0
 
-    def upto(self, delimiter: bytes, limit: int, deadline: float | None) -> bytes:
+    def read_until(self, delimiter: bytes, limit: int, deadline: float | None) -> bytes:
         """Reads up to and including the delimiter, at most `limit` bytes.
 
         Raises:
@@ -103,15 +103,15 @@
         while True:
             found = self.buffer.find(delimiter, position, min(self.end, self.start + limit))
             if found >= 0:
-                return self._use(found + len(delimiter) - self.start)
+                return self._consume(found + len(delimiter) - self.start)
             if self.end - self.start >= limit:
-                raise TooLong
+                raise MessageTooLongError
             searched = max(0, self.end - self.start - len(delimiter) + 1)
-            if not self.more(deadline):
-                raise Broken
+            if not self.fill(deadline):
+                raise IncompleteMessageError
             position = self.start + searched
 
-    def past(self, delimiter: bytes, deadline: float) -> None:
+    def skip_past(self, delimiter: bytes, deadline: float) -> None:
         """Drops everything up to and including the delimiter, however long it is.
 
         Raises:
@@ -119,12 +119,12 @@
             TimeoutError: the deadline passed.
         """
         while (found := self.buffer.find(delimiter, self.start, self.end)) < 0:
-            self.drop()
-            if not self.more(deadline):
-                raise Broken
+            self.discard()
+            if not self.fill(deadline):
+                raise IncompleteMessageError
         self.start = found + len(delimiter)
 
-    def exactly(self, size: int, deadline: float | None) -> bytes:
+    def read_exactly(self, size: int, deadline: float | None) -> bytes:
         """Reads `size` bytes.
 
         Raises:
@@ -132,11 +132,11 @@
             TimeoutError: the deadline passed.
         """
         while self.end - self.start < size:
-            if not self.more(deadline):
-                raise Broken
-        return self._use(size)
+            if not self.fill(deadline):
+                raise IncompleteMessageError
+        return self._consume(size)
 
-    def _use(self, size: int) -> bytes:
+    def _consume(self, size: int) -> bytes:
         consumed = bytes(self.view[self.start:self.start + size])
         self.start += size
         return consumed
--- a/hollystage/service/config.py
+++ b/hollystage/service/config.py
@@ -5,10 +5,10 @@
 
 import msgspec
 
-from ..interface import Below, Pool, Pooling, Reserve
+from ..interface import CallLimitConfig, Pool, PoolConfig, Reserve
 from ..plan import fleetwide, sections
 from ..plan.model import Plan
-from ..settings import Deployment, Faulty
+from ..settings import ConfigError, Deployment
 
 Address = tuple[str, int]
 
@@ -25,7 +25,7 @@
         return False
 
 
-class Limits(msgspec.Struct):
+class ProcessLimits(msgspec.Struct):
     """Resource limits of this process."""
 
     cores: Annotated[float, msgspec.Meta(gt=0)] = 1.0
@@ -44,7 +44,7 @@
     settings: Deployment
     seed: Annotated[str, msgspec.Meta(pattern=r"^[0-9a-fA-F]{1,16}$")] = "0"
     stop_ms: Annotated[float, msgspec.Meta(gt=0)] = 3000
-    limits: Limits = msgspec.field(default_factory=Limits)
+    limits: ProcessLimits = msgspec.field(default_factory=ProcessLimits)
     plan: Plan | None = None  # set by parse(), never read from the JSON
     overruled: list[str] = []  # keys that both plan and JSON set; those of the JSON apply
 
@@ -57,12 +57,12 @@
         ('127.0.0.1', 80)
         >>> address(Given, "vm")
         Traceback (most recent call last):
-        hollystage.settings.Faulty: vm: 'somewhere' is not an address like 127.0.0.1:6565
+        hollystage.settings.ConfigError: vm: 'somewhere' is not an address like 127.0.0.1:6565
         """
         text = getattr(self, key)
         host, _, port = text.rpartition(":")
         if not _is_host(host) or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-            raise Faulty(f"{key}: {text!r} is not an address like 127.0.0.1:6565")
+            raise ConfigError(f"{key}: {text!r} is not an address like 127.0.0.1:6565")
         return host, int(port)
 
 
@@ -72,41 +72,41 @@
     Raises:
         ConfigError: the message names the key.
     """
-    from_json = _decoded(text) if text else {}
+    from_json = _decode(text) if text else {}
     from_plan = plan.configuration() if plan is not None else {}
     try:
         config = msgspec.convert(from_plan | from_json, Config)
     except msgspec.ValidationError as error:
-        raise Faulty(f"configuration: {error}") from error
+        raise ConfigError(f"configuration: {error}") from error
     for key in ("listen", "vm", "control", "ledger"):
         config.address(key)
     names = [profile.name for profile in config.settings.profiles]
     for index, name in enumerate(names):
         if not name or name in names[:index]:
-            raise Faulty(f"settings.Profiles[{index}].Name: {name!r} is empty or not unique")
+            raise ConfigError(f"settings.Profiles[{index}].Name: {name!r} is empty or not unique")
     if plan is not None:
         config.plan, config.overruled = plan, sorted(key for key in from_plan if key in from_json)
         for entry in plan.entries:
             methods = [getattr(entry.value, "method", None), *getattr(entry.value, "methods", [])]
             for method in methods:
                 if method is not None and method not in names:
-                    raise Faulty(f"plan: {entry.origin}: {entry.value.word} names the method {method!r}, "
+                    raise ConfigError(f"plan: {entry.origin}: {entry.value.section_name} names the method {method!r}, "
                                  "which the settings lack")
     return config
 
 
-def _decoded(text: bytes) -> dict[str, Any]:
+def _decode(text: bytes) -> dict[str, Any]:
     """Decodes the JSON object, without the keys that only parse() sets."""
     try:
         decoded = msgspec.json.decode(text)
     except (msgspec.DecodeError, RecursionError) as error:
-        raise Faulty(f"configuration is not JSON: {error}") from error
+        raise ConfigError(f"configuration is not JSON: {error}") from error
     if not isinstance(decoded, dict):
-        raise Faulty("configuration: Expected `object`")
+        raise ConfigError("configuration: Expected `object`")
     return {key: value for key, value in decoded.items() if key not in ("plan", "overruled")}
 
 
-def pooling(config: Config) -> tuple[Pooling | None, Below]:
+def pool_config(config: Config) -> tuple[PoolConfig | None, CallLimitConfig]:
     """Converts the pools and the call limit of the plan to the types of the decision module.
 
     Methods are numbered in the order of the settings. A method that no pool names belongs to the last pool. The call
@@ -114,27 +114,27 @@
     """
     plan = config.plan
     if plan is None:
-        return None, Below()
-    limit = next(iter(plan.of(sections.Limit)), None)
-    call_limit = Below() if limit is None else Below(limit.policy, float(limit.least), float(limit.most))
-    pools = plan.of(sections.Pool)
+        return None, CallLimitConfig()
+    limit = next(iter(plan.all_of(sections.Limit)), None)
+    call_limit = CallLimitConfig() if limit is None else CallLimitConfig(limit.policy, float(limit.least), float(limit.most))
+    pools = plan.all_of(sections.Pool)
     if not pools:
         return None, call_limit
     names = [pool.name for pool in pools]
     pool_of_method = {method: names.index(pool.name) for pool in pools for method in pool.methods}
-    for route in plan.of(sections.Route):
+    for route in plan.all_of(sections.Route):
         # routes by tenant or object apply only in front ends that know them
         if route.pool is not None and route.method is not None and route.tenant is None and route.object is None:
             pool_of_method.setdefault(route.method, names.index(route.pool))
-    reserve = plan.one(sections.Reserve) or sections.Reserve()
-    return Pooling(
+    reserve = plan.first_of(sections.Reserve) or sections.Reserve()
+    return PoolConfig(
         tuple(Pool(p.name, p.guaranteed, p.ceiling, p.lends, p.heir or "", p.retries, p.floor, p.limit or "")
               for p in pools),
         tuple(pool_of_method.get(profile.name, len(pools) - 1) for profile in config.settings.profiles),
         Reserve(reserve.running, reserve.memory, reserve.calls)), call_limit
 
 
-class Peering(msgspec.Struct, frozen=True):
+class FleetConfig(msgspec.Struct, frozen=True):
     """Settings of the communication between instances; times in microseconds."""
 
     bind: str
@@ -143,50 +143,50 @@
     zone: str
     cluster: str
     key_file: str
-    period: int
+    probe_period: int
 
 
-def peering(config: Config) -> Peering | None:
+def fleet_config(config: Config) -> FleetConfig | None:
     """Returns None unless the plan enables communication; the package for the fleet is not even imported then."""
-    fleet = config.plan.one(sections.Fleet) if config.plan is not None else None
+    fleet = config.plan.first_of(sections.Fleet) if config.plan is not None else None
     if fleet is None or fleet.bind is None or fleet.key is None:
         return None
-    return Peering(fleet.bind, fleet.advertise or fleet.bind, fleet.peers, fleet.zone, fleet.cluster, fleet.key,
+    return FleetConfig(fleet.bind, fleet.advertise or fleet.bind, fleet.peers, fleet.zone, fleet.cluster, fleet.key,
                    fleet.period)
 
 
-class Budgeting(msgspec.Struct, frozen=True):
+class BudgetConfig(msgspec.Struct, frozen=True):
     """The budgets of the fleet and the leases that their allocation needs; times in microseconds."""
 
     leases: fleetwide.Leases
     budgets: list[fleetwide.Budget]  # with defaults filled in
-    calls: str  # name of the budget that bounds the downstream calls; empty for none
+    call_budget: str  # name of the budget that bounds the downstream calls; empty for none
 
 
-def budgeting(config: Config) -> Budgeting | None:
+def budget_config(config: Config) -> BudgetConfig | None:
     """Returns None if the plan has no budgets or its instances do not communicate; nothing is imported then."""
     plan = config.plan
-    if plan is None or peering(config) is None:
+    if plan is None or fleet_config(config) is None:
         return None
-    leases, budgets = plan.one(fleetwide.Leases), plan.of(fleetwide.Budget)
+    leases, budgets = plan.first_of(fleetwide.Leases), plan.all_of(fleetwide.Budget)
     if leases is None or not budgets:
         return None
-    fleet = plan.one(sections.Fleet) or sections.Fleet()
+    fleet = plan.first_of(sections.Fleet) or sections.Fleet()
     max_use = int(max(profile.give_up_us for profile in config.settings.profiles)
                   + config.settings.domain.stays_for_us)
-    return Budgeting(leases, [msgspec.structs.replace(
+    return BudgetConfig(leases, [msgspec.structs.replace(
         budget, most=budget.most or fleet.instances, use=budget.use or max_use) for budget in budgets],
         next((budget.name for budget in budgets if budget.of == "calls"), ""))
 
 
-def state(config: Config) -> sections.State | None:
+def state_config(config: Config) -> sections.State | None:
     """Returns the settings of the stored state; None if none is stored, and then the store is not imported."""
-    return config.plan.one(sections.State) if config.plan is not None else None
+    return config.plan.first_of(sections.State) if config.plan is not None else None
 
 
-def promises(config: Config) -> bool:
+def promises_enabled(config: Config) -> bool:
     """Returns whether the retry times given to callers reserve slots."""
-    refusals = config.plan.one(sections.Refusals) if config.plan is not None else None
+    refusals = config.plan.first_of(sections.Refusals) if config.plan is not None else None
     return refusals is not None and refusals.promises
 
 
@@ -196,14 +196,14 @@
     Raises:
         ConfigError: the fleet's key cannot be used.
     """
-    from ..plan.compiled import Damaged, read_key
+    from ..plan.compiled import UnusableFileError, read_key
 
-    fleet = peering(config)
+    fleet = fleet_config(config)
     if fleet is not None:
         try:
             read_key(fleet.key_file)
-        except Damaged as error:
-            raise Faulty(f"fleet.key: {error}") from error
+        except UnusableFileError as error:
+            raise ConfigError(f"fleet.key: {error}") from error
 
 
 def load(path: str, plan_path: str = "", key_path: str = "") -> Config:
@@ -213,9 +213,9 @@
         ConfigError: the message names the key, or the first fault of the plan with its file and line.
     """
     if not path and not plan_path:
-        raise Faulty("PROXY_CONFIG: no configuration file is given")
+        raise ConfigError("PROXY_CONFIG: no configuration file is given")
     plan = load_plan(plan_path, key_path) if plan_path else None
-    return parse(_content(path, "PROXY_CONFIG") if path else b"", plan)
+    return parse(_read_file(path, "PROXY_CONFIG") if path else b"", plan)
 
 
 def load_plan(path: str, key_path: str = "") -> Plan:
@@ -224,30 +224,30 @@
     Raises:
         ConfigError: the plan cannot be used.
     """
-    from ..plan.compiled import Damaged, is_compiled, read_key
+    from ..plan.compiled import UnusableFileError, is_compiled, read_key
     from ..plan.compiled import parse as parse_compiled
 
     try:
-        data = _content(path, "plan", 64)
+        data = _read_file(path, "plan", 64)
         if is_compiled(data):
-            return parse_compiled(_content(path, "plan"), read_key(key_path) if key_path else None)
-    except Damaged as error:
-        raise Faulty(f"plan: {path}: {error}") from error
+            return parse_compiled(_read_file(path, "plan"), read_key(key_path) if key_path else None)
+    except UnusableFileError as error:
+        raise ConfigError(f"plan: {path}: {error}") from error
     if key_path:
-        raise Faulty(f"plan: {path}: a script has no keyed digest: build the plan, or omit the key")
-    from ..language.faults import Unusable
+        raise ConfigError(f"plan: {path}: a script has no keyed digest: build the plan, or omit the key")
+    from ..language.diagnostics import ScriptError
     from ..plan.read import load as load_script
 
     try:
         return load_script(path)
-    except Unusable as error:
-        raise Faulty(f"plan: {error}") from error
+    except ScriptError as error:
+        raise ConfigError(f"plan: {error}") from error
 
 
-def _content(path: str, key: str, max_size: int = -1) -> bytes:
+def _read_file(path: str, key: str, max_size: int = -1) -> bytes:
     """Reads up to `max_size` bytes of a file, -1 for all; `key` names the setting in the error."""
     try:
         with open(path, "rb") as file:
             return file.read(max_size)
     except OSError as error:
-        raise Faulty(f"{key}: {path} cannot be read: {error.strerror}") from error
+        raise ConfigError(f"{key}: {path} cannot be read: {error.strerror}") from error
--- a/hollystage/service/connection.py
+++ b/hollystage/service/connection.py
@@ -10,8 +10,8 @@
 from .exchange import Exchange
 
 # wait for the rest of a message that was in transit when we shut the reading side; interval between two polls
-CROSSING_S, CROSSING_STEP_S = 0.5, 0.01
-RESERVED = 12  # descriptors kept for the listener, the interpreter link, reports and files
+PENDING_MESSAGE_S, PENDING_MESSAGE_POLL_S = 0.5, 0.01
+RESERVED_DESCRIPTORS = 12  # descriptors kept for the listener, the interpreter link, reports and files
 
 
 class Connection:
@@ -19,11 +19,11 @@
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self.begun = self.idle_since = time.monotonic()  # idle_since is 0 while a message is handled
-        self.proven = False  # at least one whole message was read
-        self.hung_up = False  # by us; a message in transit is still answered
-        self.resting = False  # it was idle when we shut it: a message in transit may still be completed
-        self.closed = False  # the caller closed its side
+        self.opened_at = self.idle_since = time.monotonic()  # idle_since is 0 while a message is handled
+        self.message_received = False  # at least one whole message was read
+        self.reading_shut = False  # by us; a message in transit is still answered
+        self.idle_at_shut = False  # it was idle when we shut it: a message in transit may still be completed
+        self.peer_closed = False  # the caller closed its side
         self.exchange: Exchange | None = None
 
 
@@ -37,30 +37,30 @@
         super().__init__(connection.sock, buffer)
         self.connection = connection
 
-    def more(self, deadline: float | None) -> bool:
+    def fill(self, deadline: float | None) -> bool:
         """Receives as `Stream.fill` does, and polls for the rest of a message after SHUT_RD."""
-        if super().more(deadline):
+        if super().fill(deadline):
             return True
-        if self.empty() or not self.connection.resting:
+        if self.is_empty() or not self.connection.idle_at_shut:
             return False
-        poll_deadline = time.monotonic() + CROSSING_S
+        poll_deadline = time.monotonic() + PENDING_MESSAGE_S
         while time.monotonic() < (poll_deadline if deadline is None else min(poll_deadline, deadline)):
-            time.sleep(CROSSING_STEP_S)
-            if super().more(deadline):
+            time.sleep(PENDING_MESSAGE_POLL_S)
+            if super().fill(deadline):
                 return True
         return False
 
 
-def most_clients(sockets: int, calls: int) -> int:
+def max_client_connections(sockets: int, calls: int) -> int:
     """Maximum number of client connections, of `sockets` descriptors with `calls` of them for downstream calls.
 
-    >>> most_clients(1024, 128), most_clients(32, 4)
+    >>> max_client_connections(1024, 128), max_client_connections(32, 4)
     (704, 16)
     """
-    return min(sockets * 11 // 16, sockets - calls - RESERVED)
+    return min(sockets * 11 // 16, sockets - calls - RESERVED_DESCRIPTORS)
 
 
-def unread(sock: socket.socket) -> bool:
+def has_unread_bytes(sock: socket.socket) -> bool:
     """Whether the socket has unread bytes."""
     with contextlib.suppress(BlockingIOError):
         return bool(sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
--- a/hollystage/service/exchange.py
+++ b/hollystage/service/exchange.py
@@ -8,48 +8,48 @@
 
 from ..interface import Action, Outcome, Rpc
 
-Token = tuple[str, str]  # method name and value of Idempotency-Key
+IdempotencyKey = tuple[str, str]  # method name and value of Idempotency-Key
 
 
-class Ended(NamedTuple):
+class RunResult(NamedTuple):
     """How a run, or the run that this RPC joined, ended, and its result."""
 
     outcome: Outcome
     result: bytes
 
 
-class Gone:
+class CallerDisconnected:
     """The caller closed its connection."""
 
 
-GONE = Gone()
-Word = Action | Ended | Gone
+CALLER_DISCONNECTED = CallerDisconnected()
+ExchangeEvent = Action | RunResult | CallerDisconnected
 
 
 class Exchange:
     """One RPC, shared by its thread, the decision module and its run."""
 
-    __slots__ = ("rpc", "ident", "token", "digest", "earlier", "mailbox", "served", "applied", "ended",
-                 "at_call", "cancel")
+    __slots__ = ("rpc", "request_id", "idempotency_key", "body_digest", "earlier", "mailbox", "has_thread", "run_requested", "run_ended",
+                 "pending_call", "cancel_call")
 
-    def __init__(self, rpc: Rpc, request_id: str, key: Token | None, body: bytes) -> None:
-        self.rpc, self.ident, self.token = rpc, request_id, key
-        self.digest = blake2b(body, digest_size=16).digest() if key else b""
+    def __init__(self, rpc: Rpc, request_id: str, key: IdempotencyKey | None, body: bytes) -> None:
+        self.rpc, self.request_id, self.idempotency_key = rpc, request_id, key
+        self.body_digest = blake2b(body, digest_size=16).digest() if key else b""
         self.earlier: Exchange | None = None
-        self.mailbox: SimpleQueue[Word] = SimpleQueue()
-        self.served = True  # the thread that serves it has not finished
-        self.applied = False  # APPLY was sent to the interpreter
-        self.ended = False  # the run has ended
-        self.at_call: tuple[int, bytes] = (0, b"")  # offset of the notice and payload of the downstream call
-        self.cancel: Callable[[], None] | None = None  # cancels the downstream call that the thread is in
+        self.mailbox: SimpleQueue[ExchangeEvent] = SimpleQueue()
+        self.has_thread = True  # the thread that serves it has not finished
+        self.run_requested = False  # APPLY was sent to the interpreter
+        self.run_ended = False  # the run has ended
+        self.pending_call: tuple[int, bytes] = (0, b"")  # offset of the notice and payload of the downstream call
+        self.cancel_call: Callable[[], None] | None = None  # cancels the downstream call that the thread is in
 
     @property
-    def open(self) -> bool:
+    def is_open(self) -> bool:
         """Whether the decision module still tracks the RPC."""
-        return self.rpc.life is not None
+        return self.rpc.lifecycle is not None
 
-    def post(self, event: Word) -> None:
+    def post(self, event: ExchangeEvent) -> None:
         """Puts an event into the mailbox and cancels the downstream call that the thread is in."""
         self.mailbox.put(event)
-        if self.cancel is not None:
-            self.cancel()
+        if self.cancel_call is not None:
+            self.cancel_call()
--- a/hollystage/service/registry.py
+++ b/hollystage/service/health_reporter.py
@@ -8,41 +8,41 @@
 import time
 from typing import Any
 
-from .buffers import Broken, Pool, Stream, bound
+from .buffers import BufferPool, IncompleteMessageError, Stream, set_socket_timeout
 from .config import Address
 from .counters import Counters
 from .driver import Driver
-from .http import Bad, read_response, write_request
+from .http import HttpError, encode_request, read_response
 
-EVERY_S, AGAIN_S = 0.8, 0.2  # an entry of the control plane expires 3 s after the last report
-TIMEOUT_S = 0.3  # short, since a change of health has to wait for the response to the previous report
+REPORT_INTERVAL_S, RETRY_DELAY_S = 0.8, 0.2  # an entry of the control plane expires 3 s after the last report
+REPORT_TIMEOUT_S = 0.3  # short, since a change of health has to wait for the response to the previous report
 
 
-class Registry:
+class HealthReporter:
     """Reports the health that the driver publishes to the control plane, from a thread of its own."""
 
-    def __init__(self, address: Address, name: str, driver: Driver, pool: Pool, counters: Counters,
+    def __init__(self, address: Address, name: str, driver: Driver, pool: BufferPool, counters: Counters,
                  log: Any) -> None:
         self.address, self.path, self.driver = address, f"/v2/endpoints/{name}", driver
         self.counters, self.log = counters, log
-        self.buffer = pool.take()
+        self.buffer = pool.acquire()
         self.stopped = False
-        self.hold_us = 0  # delay before the first report, microseconds; spreads the reports of a mass start
+        self.start_delay_us = 0  # delay before the first report, microseconds; spreads the reports of a mass start
 
-    def report_forever(self) -> None:
+    def run_reports(self) -> None:
         """Sends reports until stopped."""
-        time.sleep(self.hold_us / 1e6)
+        time.sleep(self.start_delay_us / 1e6)
         while not self.stopped:
-            self.driver.changed.clear()
+            self.driver.health_changed.clear()
             accepted = self._report(self.driver.healthy)
             self.counters.add("registry.reports" if accepted else "registry.failures")
-            self.driver.changed.wait(EVERY_S if accepted else AGAIN_S)
+            self.driver.health_changed.wait(REPORT_INTERVAL_S if accepted else RETRY_DELAY_S)
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Reports to another address from now on."""
         if address != self.address:
             self.address = address
-            self.driver.changed.set()  # reports at once: the new one must have an entry before the old expires
+            self.driver.health_changed.set()  # reports at once: the new one must have an entry before the old expires
 
     def _report(self, healthy: bool) -> bool:
         """Sends one report and returns whether it was accepted.
@@ -50,19 +50,19 @@
         Each report has its own connection, so that a late response to another cannot be taken for its own.
         """
         body = b'{"condition":"Ready"}' if healthy else b'{"condition":"NotReady"}'
-        address, deadline = self.address, time.monotonic() + TIMEOUT_S
+        address, deadline = self.address, time.monotonic() + REPORT_TIMEOUT_S
         try:
-            with socket.create_connection(address, TIMEOUT_S) as sock:
+            with socket.create_connection(address, REPORT_TIMEOUT_S) as sock:
                 fields = {"Connection": "close"}
                 sock.settimeout(None)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                bound(sock, socket.SO_SNDTIMEO, TIMEOUT_S)
-                sock.sendall(write_request("PUT", self.path, f"{address[0]}:{address[1]}", fields, body))
+                set_socket_timeout(sock, socket.SO_SNDTIMEO, REPORT_TIMEOUT_S)
+                sock.sendall(encode_request("PUT", self.path, f"{address[0]}:{address[1]}", fields, body))
                 reply = read_response(Stream(sock, self.buffer), deadline)
-        except Bad as error:
+        except HttpError as error:
             self.log.warning("malformed response from the control plane", why=str(error))
             return False
-        except (OSError, Broken):
+        except (OSError, IncompleteMessageError):
             return False
         if reply.status != 204:
             self.log.warning("control plane rejected a report", status=reply.status)
--- a/hollystage/service/http.py
+++ b/hollystage/service/http.py
@@ -4,27 +4,27 @@
 import re
 from typing import NamedTuple
 
-from .buffers import Stream, TooLong
+from .buffers import MessageTooLongError, Stream
 
-HEAD, REQUEST_BODY, RESPONSE_BODY = 8 * 1024, 2 * 1024, 8 * 1024
+MAX_HEAD_BYTES, MAX_REQUEST_BODY_BYTES, MAX_RESPONSE_BODY_BYTES = 8 * 1024, 2 * 1024, 8 * 1024
 REQUEST_LINE = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+) ([\x21-\x7e]+) HTTP/1\.([01])\r\n")
 STATUS_LINE = re.compile(rb"HTTP/1\.([01]) ([1-5][0-9][0-9])(?: [^\x00-\x08\x0a-\x1f\x7f]*)?\r\n")
 FIELD = re.compile(rb"([!#$%&'*+.^_`|~0-9A-Za-z-]+):[ \t]*([^\x00-\x08\x0a-\x1f\x7f]*?)[ \t]*\r\n")
-FORMS = {name: re.compile(pattern, re.ASCII).fullmatch for name, pattern in {
+FIELD_FORMATS = {name: re.compile(pattern, re.ASCII).fullmatch for name, pattern in {
     "x-request-id": r"[0-9A-Fa-f]{16}", "x-request-start": r"\d{1,15}", "x-caller": r"\d{1,9}",
     "x-memory-kb": r"\d{1,4}(\.\d{1,20})?", "x-timeout-ms": r"\d{1,9}", "x-retry": r"[01]",
     "x-rank": r"0(\.\d{1,20})?", "x-object": r"[\x21-\x7e]{1,128}", "idempotency-key": r"[\x21-\x7e]{1,128}",
 }.items()}
-NEEDED = {"x-request-id", "x-request-start", "x-caller", "x-memory-kb"}
-ONCE = {"content-length", "host", "transfer-encoding", *FORMS}  # a repeated one would be ambiguous
-ESCAPE = re.compile(rb"%([0-9A-Fa-f]{2})")
+REQUIRED_FIELDS = {"x-request-id", "x-request-start", "x-caller", "x-memory-kb"}
+SINGLE_FIELDS = {"content-length", "host", "transfer-encoding", *FIELD_FORMATS}  # a repeated one would be ambiguous
+PERCENT_ESCAPE = re.compile(rb"%([0-9A-Fa-f]{2})")
 REASONS = {200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
            408: "Request Timeout", 411: "Length Required", 413: "Content Too Large",
            417: "Expectation Failed", 431: "Request Header Fields Too Large",
            500: "Internal Server Error", 503: "Service Unavailable"}
 
 
-class Bad(Exception):
+class HttpError(Exception):
     """A malformed or unacceptable message; `status` is the status code for the answer, if one is sent."""
 
     def __init__(self, status: int, why: str) -> None:
@@ -40,7 +40,7 @@
     query: str
     fields: dict[str, str]
     body: bytes
-    keep: bool  # whether the connection may stay open
+    keep_alive: bool  # whether the connection may stay open
 
 
 class Response(NamedTuple):
@@ -49,49 +49,49 @@
     status: int
     fields: dict[str, str]
     body: bytes
-    keep: bool
+    keep_alive: bool
 
 
 class RpcFields(NamedTuple):
     """The checked header fields of an RPC; None for an optional field that is absent."""
 
-    ident: str
+    request_id: str
     start_ms: int
     caller: int
     timeout_ms: int | None
-    further: bool
+    is_retry: bool
     memory_kb: float
-    token: str | None
+    idempotency_key: str | None
 
 
-def _fields(head: bytes, position: int) -> dict[str, str]:
+def _parse_fields(head: bytes, position: int) -> dict[str, str]:
     fields: dict[str, str] = {}
     while position < len(head) - 2:
         match = FIELD.match(head, position)
         if match is None:
-            raise Bad(400, "a malformed header field")
+            raise HttpError(400, "a malformed header field")
         name, value = match[1].decode("ascii").lower(), match[2].decode("latin-1")
         if name in fields:
-            if name in ONCE:
-                raise Bad(400, f"repeated field {name}")
+            if name in SINGLE_FIELDS:
+                raise HttpError(400, f"repeated field {name}")
             value = f"{fields[name]}, {value}"
         fields[name] = value
         position = match.end()
     return fields
 
 
-def _length(fields: dict[str, str], limit: int) -> int:
+def _content_length(fields: dict[str, str], limit: int) -> int:
     if "transfer-encoding" in fields:
-        raise Bad(411, "a body without Content-Length")
+        raise HttpError(411, "a body without Content-Length")
     text = fields.get("content-length", "0")
     if not text.isascii() or not text.isdigit():
-        raise Bad(400, "a malformed Content-Length")
+        raise HttpError(400, "a malformed Content-Length")
     if len(text.lstrip("0")) > 9 or int(text) > limit:
-        raise Bad(413, "the body exceeds the size limit")
+        raise HttpError(413, "the body exceeds the size limit")
     return int(text)
 
 
-def _keeps(minor_version: bytes, fields: dict[str, str]) -> bool:
+def _keeps_alive(minor_version: bytes, fields: dict[str, str]) -> bool:
     options = {option.strip() for option in fields.get("connection", "").lower().split(",")}
     return "close" not in options and (minor_version == b"1" or "keep-alive" in options)
 
@@ -105,19 +105,19 @@
         TimeoutError: the deadline passed.
     """
     try:
-        head = stream.upto(b"\r\n\r\n", HEAD, deadline)
-    except TooLong:
-        raise Bad(431, "the head exceeds the size limit") from None
+        head = stream.read_until(b"\r\n\r\n", MAX_HEAD_BYTES, deadline)
+    except MessageTooLongError:
+        raise HttpError(431, "the head exceeds the size limit") from None
     match = REQUEST_LINE.match(head)
     if match is None:
-        raise Bad(400, "a malformed request line")
-    fields = _fields(head, match.end())
-    size = _length(fields, REQUEST_BODY)
+        raise HttpError(400, "a malformed request line")
+    fields = _parse_fields(head, match.end())
+    size = _content_length(fields, MAX_REQUEST_BODY_BYTES)
     if "expect" in fields:
-        raise Bad(417, "Expect is not supported")
-    body = stream.exactly(size, deadline)
+        raise HttpError(417, "Expect is not supported")
+    body = stream.read_exactly(size, deadline)
     path, _, query = match[2].decode("ascii").partition("?")
-    return Request(match[1].decode("ascii"), path, query, fields, body, _keeps(match[3], fields))
+    return Request(match[1].decode("ascii"), path, query, fields, body, _keeps_alive(match[3], fields))
 
 
 def read_response(stream: Stream, deadline: float) -> Response:
@@ -130,62 +130,62 @@
     """
     try:
         while True:
-            head = stream.upto(b"\r\n\r\n", HEAD, deadline)
+            head = stream.read_until(b"\r\n\r\n", MAX_HEAD_BYTES, deadline)
             match = STATUS_LINE.match(head)
             if match is None:
-                raise Bad(400, "a malformed status line")
-            fields, status = _fields(head, match.end()), int(match[2])
+                raise HttpError(400, "a malformed status line")
+            fields, status = _parse_fields(head, match.end()), int(match[2])
             if status >= 200:
                 break
         no_body = status == 204 or "content-length" not in fields and "transfer-encoding" not in fields
         if no_body and status != 204:
-            raise Bad(411, "a response without Content-Length")
-        body = b"" if no_body else stream.exactly(_length(fields, RESPONSE_BODY), deadline)
-    except TooLong:
-        raise Bad(431, "the head exceeds the size limit") from None
-    return Response(status, fields, body, _keeps(match[1], fields))
+            raise HttpError(411, "a response without Content-Length")
+        body = b"" if no_body else stream.read_exactly(_content_length(fields, MAX_RESPONSE_BODY_BYTES), deadline)
+    except MessageTooLongError:
+        raise HttpError(431, "the head exceeds the size limit") from None
+    return Response(status, fields, body, _keeps_alive(match[1], fields))
 
 
-def rpc_fields(fields: dict[str, str]) -> RpcFields:
+def parse_rpc_fields(fields: dict[str, str]) -> RpcFields:
     """Parses and checks the header fields of an RPC.
 
     >>> given = {"x-request-id": "9b1f03aa5c7e2d41", "x-request-start": "1764576000123", "x-caller": "4"}
-    >>> rpc_fields(given | {"x-memory-kb": "24.5", "x-retry": "1"})[2:]
+    >>> parse_rpc_fields(given | {"x-memory-kb": "24.5", "x-retry": "1"})[2:]
     (4, None, True, 24.5, None)
-    >>> rpc_fields(given | {"x-memory-kb": "2000"})
+    >>> parse_rpc_fields(given | {"x-memory-kb": "2000"})
     Traceback (most recent call last):
-    hollystage.service.http.Bad: x-memory-kb is missing or malformed
+    hollystage.service.http.HttpError: x-memory-kb is missing or malformed
 
     Raises:
         HttpError: status 400, naming the first field that is missing or malformed.
     """
-    for name, matches in FORMS.items():
+    for name, matches in FIELD_FORMATS.items():
         text = fields.get(name)
-        if name in NEEDED if text is None else not matches(text):
-            raise Bad(400, f"{name} is missing or malformed")
+        if name in REQUIRED_FIELDS if text is None else not matches(text):
+            raise HttpError(400, f"{name} is missing or malformed")
     memory, timeout = float(fields["x-memory-kb"]), fields.get("x-timeout-ms")
     if not 0 < memory < 2000:
-        raise Bad(400, "x-memory-kb is missing or malformed")
+        raise HttpError(400, "x-memory-kb is missing or malformed")
     return RpcFields(fields["x-request-id"], int(fields["x-request-start"]), int(fields["x-caller"]),
                      int(timeout) if timeout else None, fields.get("x-retry") == "1", memory,
                      fields.get("idempotency-key"))
 
 
-def plain(text: str) -> str:
+def percent_decode(text: str) -> str:
     """Decodes the percent-encoding of a path segment. Invalid escapes, and text that is not UTF-8, stay as they are.
 
-    >>> plain("find"), plain("zone%20map"), plain("caf%C3%A9"), plain("50%"), plain("%ff"), plain("%2g")
+    >>> percent_decode("find"), percent_decode("zone%20map"), percent_decode("caf%C3%A9"), percent_decode("50%"), percent_decode("%ff"), percent_decode("%2g")
     ('find', 'zone map', 'café', '50%', '%ff', '%2g')
     """
     if "%" not in text:
         return text
     try:
-        return ESCAPE.sub(lambda match: bytes.fromhex(match[1].decode()), text.encode()).decode()
+        return PERCENT_ESCAPE.sub(lambda match: bytes.fromhex(match[1].decode()), text.encode()).decode()
     except UnicodeDecodeError:
         return text
 
 
-def write_response(status: int, fields: dict[str, str], body: bytes, keep_alive: bool) -> bytes:
+def encode_response(status: int, fields: dict[str, str], body: bytes, keep_alive: bool) -> bytes:
     """Encodes a response; adds Content-Length, and Connection: close unless the connection is kept open."""
     lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}", f"Content-Length: {len(body)}"]
     lines += [f"{name}: {value}" for name, value in fields.items()]
@@ -194,7 +194,7 @@
     return "\r\n".join([*lines, "\r\n"]).encode("ascii") + body
 
 
-def write_request(verb: str, path: str, host: str, fields: dict[str, str], body: bytes) -> bytes:
+def encode_request(verb: str, path: str, host: str, fields: dict[str, str], body: bytes) -> bytes:
     """Encodes a request; adds Host and Content-Length."""
     lines = [f"{verb} {path} HTTP/1.1", f"Host: {host}", f"Content-Length: {len(body)}"]
     lines += [f"{name}: {value}" for name, value in fields.items()]
