--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,11 +1,11 @@
 import pytest
-from helpers import SECOND, Box, booking, lookup
+from helpers import SECOND, ControlHarness, booking, lookup
 
-from hollystage.control import CALLERS
-from hollystage.interface import Do, Halt, Kind, Outcome, Pool, Pooling, Say, Tenant
+from hollystage.control import MAX_REMEMBERED_CALLERS
+from hollystage.interface import ActionKind, Halt, LoadSignal, MethodKind, Outcome, Pool, PoolConfig, Tenant
 from hollystage.policy.buckets import BUCKETS, TICK, Client
 
-START, PUSH_BACK, ABORT, HALT, JOIN, KEEP = Do.START, Do.PUSH_BACK, Do.ABORT, Do.HALT, Do.JOIN, Do.KEEP
+START, PUSH_BACK, ABORT, HALT, JOIN, KEEP = ActionKind.START, ActionKind.REJECT, ActionKind.ABORT, ActionKind.HALT, ActionKind.JOIN, ActionKind.KEEP
 
 
 def test_cascade_takes_tokens_from_the_innermost_bucket_with_one_and_all_outer_buckets():
@@ -16,7 +16,7 @@
 
 
 def test_more_critical_rpc_starts_first_among_equal_targets():
-    box = Box(lookup(), lookup(criticality=4.0))
+    box = ControlHarness(lookup(), lookup(criticality=4.0))
     running = box.fill()
     plain, critical = box.send(), box.send(box.methods[1])
     box.end(running[0])
@@ -26,25 +26,25 @@
 @pytest.mark.parametrize("first, second", [(1, 3), (3, 1)])
 def test_smallest_finish_tag_starts_first(first, second):
     methods = [lookup(latency_target=n * SECOND) for n in (1, 2, 3)]
-    box = Box(*methods)
+    box = ControlHarness(*methods)
     running = box.fill(methods[1])
     queued = {n: box.send(methods[n - 1]) for n in (first, second)}
     box.end(running[0])
     assert box.did(queued[1]) == [START] and box.did(queued[3]) == []
 
 
-@pytest.mark.parametrize("kind, again", [(Kind.IDEMPOTENT, None), (Kind.TOKENED, None)])
+@pytest.mark.parametrize("kind, again", [(MethodKind.IDEMPOTENT, None), (MethodKind.KEYED, None)])
 @pytest.mark.parametrize("state", ["held", "running", "at call"])
 def test_every_rpc_is_answered_by_its_due_time(kind, again, state):
     method = lookup(kind=kind, window=8 * SECOND)
-    box = Box(method, calls_out=2.0)
+    box = ControlHarness(method, calls_out=2.0)
     running = box.fill()
     rpc = box.send() if state == "held" else running[0]
     if state == "at call":
         box.at_call(rpc)
-    box.wait(6 * SECOND)
+    box.advance(6 * SECOND)
     answers = [a for a in box.did(rpc) if a in (PUSH_BACK, ABORT)]
-    ran_with_key = kind is Kind.TOKENED and state != "held"
+    ran_with_key = kind is MethodKind.KEYED and state != "held"
     assert len(answers) == 1 and (answers == [ABORT] if ran_with_key else True)
 
 
@@ -57,15 +57,15 @@
     (1000, True, 0),       # the timeout of a first attempt, none of which was rejected here yet
 ])
 def test_age_of_a_retry_is_estimated_from_its_timeout(timeout, is_retry, age):
-    box = Box()
+    box = ControlHarness()
     for n in range(12):
-        box.send(patience=1000_000, caller=n)
-    rpc = box.send(patience=timeout * 1000, further=is_retry)
+        box.send(timeout=1000_000, caller=n)
+    rpc = box.send(timeout=timeout * 1000, is_retry=is_retry)
     assert rpc.target == box.now + 2 * SECOND - age * 1000
 
 
 def test_repeats_with_an_idempotency_key_run_once():
-    box = Box(booking())
+    box = ControlHarness(booking())
     first = box.send()
     assert box.did(first) == [KEEP, START]
     assert box.did(box.send(earlier=first)) == [JOIN]
@@ -79,96 +79,96 @@
 
 @pytest.mark.parametrize("memory, runs", [(10_000.0, True), (85.0, False)])
 def test_rpc_is_not_run_without_memory_for_its_idempotency_key(memory, runs):
-    box = Box(booking(), memory=memory, run_factor=2.0, key_size=80.0)
+    box = ControlHarness(booking(), memory=memory, run_factor=2.0, key_size=80.0)
     assert (START in box.did(box.send())) == runs
 
 
 @pytest.mark.parametrize("cold, limit", [(False, 8), (True, 2)])
 def test_rpcs_in_and_after_calls_count_towards_the_concurrency_limit(cold, limit):
-    box = Box(lookup(), calls_out=100.0, cold=cold, cold_from=0.1,
+    box = ControlHarness(lookup(), calls_out=100.0, cold=cold, cold_from=0.1,
               warm_after=10 * SECOND)
     for _ in range(20):
         box.at_call(box.send())
-    assert sum(box.control.places[p] for p in ("running", "calling", "waiting")) <= limit
+    assert sum(box.control.state_counts[p] for p in ("running", "calling", "waiting")) <= limit
 
 
 @pytest.mark.parametrize("waited, runs", [(0, False), (SECOND, True)])
 def test_rpc_that_arrives_after_the_drain_grace_is_not_run(waited, runs):
-    box = Box()
+    box = ControlHarness()
     box.control.leaving(5 * SECOND, box.now)
     box.now += 2 * SECOND + 1000
-    assert (START in box.did(box.send(waited=waited))) == runs
+    assert (START in box.did(box.send(unread_time=waited))) == runs
 
 
 def test_every_rpc_is_answered_before_the_end_of_a_drain():
-    box = Box(lookup(), booking())
+    box = ControlHarness(lookup(), booking())
     rpcs = box.fill(box.methods[0]) + [box.send(box.methods[1])]
     box.control.leaving(SECOND, box.now)
-    box.wait(SECOND)
+    box.advance(SECOND)
     assert all(PUSH_BACK in box.did(r) or ABORT in box.did(r) for r in rpcs)
 
 
 @pytest.mark.parametrize("outcome, kind, share, expected", [
-    (Outcome.FULL, Kind.IDEMPOTENT, 0.3, Do.SKIP),
-    (Outcome.TIMEOUT, Kind.IDEMPOTENT, 0.3, Do.CALL),
-    (Outcome.RESET, Kind.IDEMPOTENT, 0.3, Do.CALL),
-    (Outcome.TIMEOUT, Kind.TOKENED, 0.3, Do.SKIP),
-    (Outcome.TIMEOUT, Kind.IDEMPOTENT, 0.0, Do.CALL),
-    (Outcome.TIMEOUT, Kind.NON_IDEMPOTENT, 0.0, ABORT),
-    (Outcome.RESET, Kind.TOKENED, 0.0, ABORT),
-    (Outcome.FULL, Kind.TOKENED, 0.0, Do.CALL),
-    (Outcome.CONNECT_FAILED, Kind.NON_IDEMPOTENT, 0.0, Do.CALL),
+    (Outcome.FULL, MethodKind.IDEMPOTENT, 0.3, ActionKind.SKIP),
+    (Outcome.TIMEOUT, MethodKind.IDEMPOTENT, 0.3, ActionKind.CALL),
+    (Outcome.RESET, MethodKind.IDEMPOTENT, 0.3, ActionKind.CALL),
+    (Outcome.TIMEOUT, MethodKind.KEYED, 0.3, ActionKind.SKIP),
+    (Outcome.TIMEOUT, MethodKind.IDEMPOTENT, 0.0, ActionKind.CALL),
+    (Outcome.TIMEOUT, MethodKind.NON_IDEMPOTENT, 0.0, ABORT),
+    (Outcome.RESET, MethodKind.KEYED, 0.0, ABORT),
+    (Outcome.FULL, MethodKind.KEYED, 0.0, ActionKind.CALL),
+    (Outcome.CONNECT_FAILED, MethodKind.NON_IDEMPOTENT, 0.0, ActionKind.CALL),
 ])
 def test_call_is_retried_only_if_it_may_be_repeated(outcome, kind, share, expected):
-    box = Box(lookup(kind=kind, skip_share=share, window=SECOND), calls_out=4.0)
+    box = ControlHarness(lookup(kind=kind, skip_share=share, window=SECOND), calls_out=4.0)
     rpc = box.send()
     box.at_call(rpc)
-    assert box.call_ends(rpc, outcome)[0].do is expected
+    assert box.end_call(rpc, outcome)[0].kind is expected
 
 
-@pytest.mark.parametrize("lost, expected, lowered", [(1, Do.CALL, False), (14, Do.SKIP, True)])
+@pytest.mark.parametrize("lost, expected, lowered", [(1, ActionKind.CALL, False), (14, ActionKind.SKIP, True)])
 def test_single_lost_replies_do_not_lower_the_call_limit_but_many_do(lost, expected, lowered):
-    box = Box(lookup(skip_share=0.3), calls_out=60.0, cores=16)
+    box = ControlHarness(lookup(skip_share=0.3), calls_out=60.0, cores=16)
     for _ in range(10):
         rpc = box.send()
         box.at_call(rpc)
-        box.call_ends(rpc, Outcome.OK, spent=8000)
+        box.end_call(rpc, Outcome.OK, spent=8000)
         box.end(rpc)
-    limit, rpcs = box.control.below.value, box.fill(many=lost)
+    limit, rpcs = box.control.call_limit.value, box.fill(count=lost)
     for rpc in rpcs:
         box.at_call(rpc)
-        assert next(a.span for a in box.log if a.do is Do.CALL and a.rpc is rpc) == 240_000  # instead of two seconds
+        assert next(a.duration for a in box.actions if a.kind is ActionKind.CALL and a.rpc is rpc) == 240_000  # instead of two seconds
     box.now += 240_000
-    assert [box.call_ends(rpc, Outcome.TIMEOUT)[0].do for rpc in rpcs][-1] is expected
-    assert (box.control.below.value < limit) == lowered
+    assert [box.end_call(rpc, Outcome.TIMEOUT)[0].kind for rpc in rpcs][-1] is expected
+    assert (box.control.call_limit.value < limit) == lowered
     if lowered:  # the dependency may be slow: later calls wait as long as they can
         rpc = box.send()
         box.at_call(rpc)
-        assert next(a.span for a in box.log if a.do is Do.CALL and a.rpc is rpc) > SECOND
+        assert next(a.duration for a in box.actions if a.kind is ActionKind.CALL and a.rpc is rpc) > SECOND
 
 
-@pytest.mark.parametrize("kind, halted", [(Kind.IDEMPOTENT, True), (Kind.TOKENED, False)])
+@pytest.mark.parametrize("kind, halted", [(MethodKind.IDEMPOTENT, True), (MethodKind.KEYED, False)])
 def test_work_of_a_disconnected_caller_is_halted_unless_a_repeat_may_join_it(kind, halted):
-    box = Box(lookup(kind=kind, window=SECOND))
+    box = ControlHarness(lookup(kind=kind, window=SECOND))
     rpc = box.send()
-    box.gone(rpc)
+    box.disconnect(rpc)
     assert (HALT in box.did(rpc)) == halted
 
 
 def test_hung_cores_are_reported_and_their_rpcs_rejected():
-    box = Box()
-    running, queued = box.fill(), box.send(patience=5 * SECOND)
+    box = ControlHarness()
+    running, queued = box.fill(), box.send(timeout=5 * SECOND)
     queued.target += 5 * SECOND
-    assert not any(a.do is Do.HEALTH for a in box.wait(2 * SECOND))  # a single long run is no hang
-    assert any(a.do is Do.HEALTH and not a.flag for a in box.wait(SECOND))
+    assert not any(a.kind is ActionKind.HEALTH for a in box.advance(2 * SECOND))  # a single long run is no hang
+    assert any(a.kind is ActionKind.HEALTH and not a.flag for a in box.advance(SECOND))
     assert PUSH_BACK in box.did(queued) and PUSH_BACK in box.did(running[0])
     assert box.did(box.send()) == [PUSH_BACK]
     box.end(running[0])
-    assert any(a.do is Do.HEALTH and a.flag for a in box.wait(1))
+    assert any(a.kind is ActionKind.HEALTH and a.flag for a in box.advance(1))
 
 
 def test_single_high_cost_does_not_reject_all_later_rpcs():
-    box = Box(lookup(latency_target=SECOND))
+    box = ControlHarness(lookup(latency_target=SECOND))
     slow = box.send()
     box.now += 3 * SECOND
     box.end(slow)
@@ -177,11 +177,11 @@
 
 @pytest.mark.parametrize("runnable, runs", [(8.0, 4), (40.0, 2)])  # the run limit decays too
 def test_other_runnable_threads_lower_the_run_limit_down_to_the_number_of_cores(runnable, runs):
-    box = Box(lookup(latency_target=60 * SECOND, deadline=90 * SECOND))
-    sent = box.fill(many=30)
-    box.wait(SECOND, cores=0.5, crowd=1.0)
+    box = ControlHarness(lookup(latency_target=60 * SECOND, deadline=90 * SECOND))
+    sent = box.fill(count=30)
+    box.advance(SECOND, cores=0.5, crowd=1.0)
     first = [rpc for rpc in sent if START in box.did(rpc)]
-    box.wait(SECOND, crowd=runnable)
+    box.advance(SECOND, crowd=runnable)
     for rpc in first:
         box.end(rpc)
     assert len(first) == 8 and sum(START in box.did(rpc) for rpc in sent) - len(first) == runs
@@ -189,113 +189,113 @@
 
 @pytest.mark.parametrize("callers, shortest", [(3, False), (1000, True)])
 def test_idle_limit_is_long_for_returning_callers(callers, shortest):
-    box = Box(longest_idle=30 * SECOND)
+    box = ControlHarness(max_idle=30 * SECOND)
     for n in range(1000):
         box.end(box.send(caller=n % callers))
         if n % 100 == 0:
-            box.wait(SECOND, cores=0.5, crowd=0.0)
-    spans = [a.span for a in box.log if a.do is Do.IDLE]
+            box.advance(SECOND, cores=0.5, crowd=0.0)
+    spans = [a.duration for a in box.actions if a.kind is ActionKind.IDLE_LIMIT]
     assert (spans[-1] < SECOND) if shortest else spans[-1] > 10 * SECOND
     box.send(caller=0)
-    assert len(box.control.seen) <= CALLERS
+    assert len(box.control.last_seen) <= MAX_REMEMBERED_CALLERS
 
 
 def test_connections_are_kept_while_rpcs_are_read_late():
-    box = Box(longest_idle=30 * SECOND)
+    box = ControlHarness(max_idle=30 * SECOND)
     for unread_time, late in ((0, False), (SECOND, True), (100_000, True), (0, False)):
         for n in range(40):
-            box.send(caller=n, waited=unread_time)
-            box.wait(200_000, crowd=0.0)
-        assert (box.control.idle == 30 * SECOND) == late, unread_time
-        box.control.seen.clear()
+            box.send(caller=n, unread_time=unread_time)
+            box.advance(200_000, crowd=0.0)
+        assert (box.control.idle_limit == 30 * SECOND) == late, unread_time
+        box.control.last_seen.last_clear()
 
 
 def test_retry_with_the_timeout_of_a_first_attempt_has_the_age_of_rejected_ones():
-    box = Box()
+    box = ControlHarness()
     for _ in range(4):
-        box.send(patience=SECOND, waited=2 * SECOND)  # read too late
-    assert box.send(patience=3 * SECOND, further=True).target < box.now + SECOND
+        box.send(timeout=SECOND, unread_time=2 * SECOND)  # read too late
+    assert box.send(timeout=3 * SECOND, is_retry=True).target < box.now + SECOND
 
 
 @pytest.mark.parametrize("criticality, runs", [(1.0, False), (10.0, True)])
 def test_critical_rpc_starts_even_if_it_may_just_fit_its_target(criticality, runs):
-    box = Box(lookup(criticality=criticality), lookup())
-    box.control.runs[box.methods[0]].add(1000 * SECOND, box.now, 1000)
+    box = ControlHarness(lookup(criticality=criticality), lookup())
+    box.control.run_times[box.methods[0]].add(1000 * SECOND, box.now, 1000)
     running = box.fill(box.methods[1])
-    rpc = box.send(waited=1200_000)
+    rpc = box.send(unread_time=1200_000)
     box.end(running[0])
     assert (START in box.did(rpc)) == runs
 
 
 def test_rejection_advises_when_a_slot_is_likely_free():
-    box = Box()
+    box = ControlHarness()
     box.fill()
-    rpc = box.send(waited=2 * SECOND)
-    assert [0 < a.span < SECOND for a in box.log if a.rpc is rpc and a.do is PUSH_BACK] == [True]
+    rpc = box.send(unread_time=2 * SECOND)
+    assert [0 < a.duration < SECOND for a in box.actions if a.rpc is rpc and a.kind is PUSH_BACK] == [True]
 
 
 @pytest.mark.parametrize("cores, narrower", [(0.5, False), (1.0, True)])
 def test_window_signal_narrows_only_at_full_cores(cores, narrower):
-    box = Box(say=Say.WINDOW)
-    box.wait(SECOND, cores=0.5)
+    box = ControlHarness(load_signal=LoadSignal.WINDOW)
+    box.advance(SECOND, cores=0.5)
     for _ in range(20):
-        box.send(waited=2 * SECOND)
-        box.wait(1, cores=cores)
+        box.send(unread_time=2 * SECOND)
+        box.advance(1, cores=cores)
     assert (box.control.admit_level < 1) == narrower
 
 
 def test_cores_that_hang_while_reading_are_reported_until_an_rpc_is_read():
-    box = Box()
-    assert not any(a.do is Do.HEALTH for a in box.wait(2 * SECOND, crowd=0.0))
-    assert any(a.do is Do.HEALTH and not a.flag for a in box.wait(3 * SECOND, crowd=2.0))
+    box = ControlHarness()
+    assert not any(a.kind is ActionKind.HEALTH for a in box.advance(2 * SECOND, crowd=0.0))
+    assert any(a.kind is ActionKind.HEALTH and not a.flag for a in box.advance(3 * SECOND, crowd=2.0))
     assert START in box.did(box.send())
 
 
 def test_no_call_is_made_for_an_rpc_that_ended_while_waiting_for_the_call_limit():
-    box = Box(lookup(), calls_out=1.0)
-    box.wait(4 * SECOND)  # pacing delays the first call
+    box = ControlHarness(lookup(), calls_out=1.0)
+    box.advance(4 * SECOND)  # pacing delays the first call
     first, second = box.fill()
     box.at_call(first)
     box.at_call(second)
-    box.gone(second)
-    box.call_ends(first, Outcome.OK)
-    assert Do.CALL in box.did(first) and Do.CALL not in box.did(second)
+    box.disconnect(second)
+    box.end_call(first, Outcome.OK)
+    assert ActionKind.CALL in box.did(first) and ActionKind.CALL not in box.did(second)
 
 
-@pytest.mark.parametrize("pooling", [None, Pooling((Pool("all", 1.0),), (0,))])
+@pytest.mark.parametrize("pooling", [None, PoolConfig((Pool("all", 1.0),), (0,))])
 def test_call_limit_below_one_is_kept_on_average(pooling):
-    box = Box(lookup(), calls_out=0.5, pooling=pooling)
-    box.wait(4 * SECOND)
+    box = ControlHarness(lookup(), calls_out=0.5, pooling=pooling)
+    box.advance(4 * SECOND)
     first, second = box.fill()
     box.at_call(first)
-    before = box.control.below.value
+    before = box.control.call_limit.value
     box.now += 200_000
-    box.call_ends(first, Outcome.OK, spent=200_000)
+    box.end_call(first, Outcome.OK, spent=200_000)
     box.at_call(second)
-    pause = 200_000 * (1 - before) / box.control.below.value  # the debt of the first call over the limit now
-    box.wait(int(pause) - 2 * TICK)
-    assert Do.CALL not in box.did(second)
-    box.wait(3 * TICK)
-    assert Do.CALL in box.did(second)
+    pause = 200_000 * (1 - before) / box.control.call_limit.value  # the debt of the first call over the limit now
+    box.advance(int(pause) - 2 * TICK)
+    assert ActionKind.CALL not in box.did(second)
+    box.advance(3 * TICK)
+    assert ActionKind.CALL in box.did(second)
 
 
 @pytest.mark.parametrize("share, timeout", [(0.2, 500_000), (40.0, 0)])
 def test_call_timeout_is_bounded_by_the_limit_times_the_averaging_span(share, timeout):
-    box = Box(lookup(latency_target=5 * SECOND), calls_out=share, calls_over=5 * SECOND)
-    box.wait(30 * SECOND)
+    box = ControlHarness(lookup(latency_target=5 * SECOND), calls_out=share, call_averaging_span=5 * SECOND)
+    box.advance(30 * SECOND)
     rpc, _ = box.fill()
     box.at_call(rpc)
-    (call,) = [action for action in box.log if action.do is Do.CALL]
-    assert call.span == timeout if timeout else call.span > SECOND
+    (call,) = [action for action in box.actions if action.kind is ActionKind.CALL]
+    assert call.duration == timeout if timeout else call.duration > SECOND
 
 
 @pytest.mark.parametrize("skip_share, rejected", [(0.0, True), (0.3, False)])
 def test_usual_wait_for_calls_counts_before_a_start_unless_the_call_can_be_skipped(skip_share, rejected):
-    box = Box(lookup(skip_share=skip_share), calls_out=40.0)
+    box = ControlHarness(lookup(skip_share=skip_share), calls_out=40.0)
     for _ in range(20):
         rpc = box.send()
         box.control.usual_call = 50_000
-        rpc.off_cores = 2_200_000  # it waited longer than its target for a call
+        rpc.off_core_time = 2_200_000  # it waited longer than its target for a call
         box.now += TICK
         box.end(rpc)
     box.fill()
@@ -305,23 +305,23 @@
 
 def test_method_without_criticality_gets_no_rate_and_does_not_break_the_update():
     worthless = lookup(criticality=0.0)
-    box = Box(lookup(), worthless)
+    box = ControlHarness(lookup(), worthless)
     box.send(worthless)
     box.send()
-    box.wait(2 * SECOND)  # the rates are updated
+    box.advance(2 * SECOND)  # the rates are updated
     assert box.control.clients[None, box.methods[0]].rho > 0 == box.control.clients[None, worthless].rho
-    only = Box(worthless)
+    only = ControlHarness(worthless)
     only.send()
-    only.wait(2 * SECOND)
+    only.advance(2 * SECOND)
 
 
 def test_old_cost_is_forgotten_while_other_methods_fill_the_cores():
     quick, slow = lookup(latency_target=8 * SECOND), lookup(latency_target=SECOND)
-    box = Box(quick, slow)
+    box = ControlHarness(quick, slow)
     rpc = box.send(slow)
     box.now += 3 * SECOND
     box.end(rpc)
-    box.wait(SECOND // 20)
+    box.advance(SECOND // 20)
     box.fill(quick)
     assert box.did(box.send(slow)) == [PUSH_BACK]
     box.now += 20 * SECOND
@@ -329,165 +329,165 @@
 
 
 def test_runs_on_hung_cores_do_not_count_as_costs():
-    box = Box()
+    box = ControlHarness()
     running = box.fill()
-    box.wait(3 * SECOND)
+    box.advance(3 * SECOND)
     for rpc in running:
         box.end(rpc)
-    assert box.control._cost(box.methods[0]) < SECOND // 10
+    assert box.control._usual_cost(box.methods[0]) < SECOND // 10
 
 
 @pytest.mark.parametrize("critical, runs", [(True, True), (False, False)])
 def test_only_the_least_critical_need_a_cost_margin_while_many_rpcs_are_rejected(critical, runs):
-    box = Box(lookup(latency_target=SECOND), booking(latency_target=SECOND))
+    box = ControlHarness(lookup(latency_target=SECOND), booking(latency_target=SECOND))
     method = box.methods[critical]
     rpc = box.send(method)
     box.now += 1_100_000
     box.end(rpc)
     for _ in range(9):
-        box.send(waited=2 * SECOND)
-    box.wait(1, cores=1.0)
+        box.send(unread_time=2 * SECOND)
+    box.advance(1, cores=1.0)
     assert (START in box.did(box.send(method))) == runs
 
 
 @pytest.mark.parametrize("memory, queued, started", [(10_000.0, 6, 2), (150.0, 4, 1), (60.0, 5, 0)])
 def test_memory_limits_queued_and_started_rpcs(memory, queued, started):
-    box = Box(memory=memory)
+    box = ControlHarness(memory=memory)
     rpcs = [box.send() for _ in range(8)]
     assert sum(START in box.did(r) for r in rpcs) == started
-    assert box.control.places["held"] == queued
+    assert box.control.state_counts["held"] == queued
 
 
 @pytest.mark.parametrize("halt, expected", [
     (Halt.NONE, [ABORT]), (Halt.ABORT, [ABORT, HALT]), (Halt.SUSPEND, [ABORT, HALT]),
 ])
 def test_overdue_work_is_halted_if_the_interpreter_can(halt, expected):
-    box = Box(lookup(kind=Kind.NON_IDEMPOTENT), halt=halt)
+    box = ControlHarness(lookup(kind=MethodKind.NON_IDEMPOTENT), halt=halt)
     rpc = box.send()
-    box.wait(6 * SECOND)
+    box.advance(6 * SECOND)
     assert box.did(rpc) == [START, *expected]
 
 
 @pytest.mark.parametrize("load_signal, initial, lowered", [
-    (Say.THRESHOLD, 0.0, lambda value: 0.3 < value <= 0.5), (Say.WINDOW, 8.0, lambda value: value < 2.0),
-    (Say.SHARE, 1.0, lambda value: value < 0.7),
+    (LoadSignal.THRESHOLD, 0.0, lambda value: 0.3 < value <= 0.5), (LoadSignal.WINDOW, 8.0, lambda value: value < 2.0),
+    (LoadSignal.SHARE, 1.0, lambda value: value < 0.7),
 ])
 def test_every_load_signal_drops_while_the_queue_is_long(load_signal, initial, lowered):
-    box = Box(lookup(latency_target=SECOND), booking(latency_target=SECOND), say=load_signal)
-    assert [a.value for a in box.wait(SECOND // 20) if a.do is Do.SAY] == [initial]
+    box = ControlHarness(lookup(latency_target=SECOND), booking(latency_target=SECOND), load_signal=load_signal)
+    assert [a.value for a in box.advance(SECOND // 20) if a.kind is ActionKind.LOAD_SIGNAL] == [initial]
     running = box.fill()
     for _ in range(40):
         for _ in range(8):
-            box.send(waited=200_000)
-        box.wait(SECOND // 20)
+            box.send(unread_time=200_000)
+        box.advance(SECOND // 20)
         box.end(running.pop())
-        running = [rpc for rpc in box.started if rpc.place == "running"]
-    assert lowered([a.value for a in box.log if a.do is Do.SAY][-1]) and not box.control.stuck
+        running = [rpc for rpc in box.start_times if rpc.state == "running"]
+    assert lowered([a.value for a in box.actions if a.kind is ActionKind.LOAD_SIGNAL][-1]) and not box.control.cores_hung
 
 
 def test_abandoned_calls_count_while_they_linger():
-    box = Box(lookup(skip_share=0.3), calls_out=1.0, linger=SECOND // 2)
-    box.wait(4 * SECOND)
+    box = ControlHarness(lookup(skip_share=0.3), calls_out=1.0, linger=SECOND // 2)
+    box.advance(4 * SECOND)
     first, second = box.fill()
     box.at_call(first)
-    box.call_ends(first, Outcome.TIMEOUT)
-    box.gone(first)
+    box.end_call(first, Outcome.TIMEOUT)
+    box.disconnect(first)
     box.at_call(second)
-    box.wait(SECOND // 2 - TICK)
-    assert Do.CALL not in box.did(second)
-    box.wait(SECOND)
-    assert Do.CALL in box.did(second)
+    box.advance(SECOND // 2 - TICK)
+    assert ActionKind.CALL not in box.did(second)
+    box.advance(SECOND)
+    assert ActionKind.CALL in box.did(second)
 
 
 def test_outermost_class_is_rejected_until_cpu_falls_below_the_lower_threshold():
-    box = Box()
+    box = ControlHarness()
     box.fill()
     queued = [box.send() for _ in range(20)]
     box.control.clients[None, box.methods[0]].tokens[0] = -100.0
     assert PUSH_BACK not in box.did(queued[-1])
     for cores, rejected in [(0.9, False), (0.96, True), (0.9, True), (0.8, False)]:
-        box.wait(1, cores=cores)
+        box.advance(1, cores=cores)
         assert (PUSH_BACK in box.did(box.send())) == rejected
 
 
 def test_tenant_beyond_its_quota_gets_a_lower_rate():
     inside, beyond = Tenant(1000.0), Tenant(0.5)
-    box = Box(tenants=[inside, beyond], over_share=0.1)
+    box = ControlHarness(tenants=[inside, beyond], over_quota_worth=0.1)
     for _ in range(300):
         for tenant in (inside, beyond):
             box.send(tenant=tenant)
-    box.control._plan()
+    box.control._update_rates()
     rates = [box.control.clients[tenant, box.methods[0]].rho for tenant in (inside, beyond)]
     assert rates[0] > 3 * rates[1] > 0
 
 
 def test_time_of_halted_runs_counts_as_cost():
-    box = Box(lookup(latency_target=SECOND, deadline=SECOND), lookup())
+    box = ControlHarness(lookup(latency_target=SECOND, deadline=SECOND), lookup())
     halted, other = box.fill(box.methods[0], 1)[0], box.methods[1]
     for _ in range(20):
         rpc = box.send(other)
-        box.wait(SECOND // 20)
+        box.advance(SECOND // 20)
         box.end(rpc)
     assert HALT in box.did(halted)
     box.end(halted, Outcome.CANCELLED)
-    assert box.control._cost(box.methods[0]) > SECOND // 2
+    assert box.control._usual_cost(box.methods[0]) > SECOND // 2
 
 
 @pytest.mark.parametrize("changes", [
-    {"cores": 1}, {"halt": Halt.NONE, "longest_advice": 0}, {"calls_out": 0.2}, {"say": Say.SHARE}])
+    {"cores": 1}, {"halt": Halt.NONE, "max_retry_after": 0}, {"calls_out": 0.2}, {"load_signal": LoadSignal.SHARE}])
 def test_each_of_many_callers_is_answered_once_with_unusual_settings(changes):
-    box = Box(lookup(), booking(kind=Kind.NON_IDEMPOTENT), **changes)
+    box = ControlHarness(lookup(), booking(kind=MethodKind.NON_IDEMPOTENT), **changes)
     sent = [box.send(box.methods[n % 2], caller=n) for n in range(100)]
-    box.wait(SECOND)
+    box.advance(SECOND)
     for rpc in sent:
-        if START in box.did(rpc) and rpc.place == "running":
+        if START in box.did(rpc) and rpc.state == "running":
             box.end(rpc)
-    box.wait(8 * SECOND)
-    assert all(rpc.place == "over" or rpc.answered for rpc in sent)
+    box.advance(8 * SECOND)
+    assert all(rpc.state == "over" or rpc.answered for rpc in sent)
     assert all(box.did(rpc).count(START) <= 1 for rpc in sent)
     assert all(PUSH_BACK not in box.did(rpc) for rpc in sent[1::2] if rpc.ran)
 
 
 @pytest.mark.parametrize("tier, calls_out, paused", [(False, 0.0, True), (True, 0.0, False), (False, 4.0, False)])
 def test_calls_to_a_downstream_tier_without_a_share_are_not_paused(tier, calls_out, paused):
-    box = Box(lookup(), calls_out=calls_out, tier_below=tier)
+    box = ControlHarness(lookup(), calls_out=calls_out, downstream_tier=tier)
     first, second = box.fill()
     box.at_call(first)
-    box.call_ends(first, Outcome.OK, spent=200_000)
+    box.end_call(first, Outcome.OK, spent=200_000)
     box.at_call(second)
-    assert (Do.CALL not in box.did(second)) is paused
+    assert (ActionKind.CALL not in box.did(second)) is paused
 
 
 @pytest.mark.parametrize("time_left, until_due", [(3 * SECOND, False), (SECOND // 5, True)])
 def test_call_that_cannot_end_before_the_target_may_take_until_the_due_time(time_left, until_due):
-    box = Box(lookup(latency_target=SECOND, deadline=6 * SECOND), calls_out=4.0)
+    box = ControlHarness(lookup(latency_target=SECOND, deadline=6 * SECOND), calls_out=4.0)
     warm = box.send()
     box.at_call(warm)
-    box.call_ends(warm, Outcome.OK, spent=100_000)
+    box.end_call(warm, Outcome.OK, spent=100_000)
     box.end(warm)
-    rpc = box.send(patience=0)
+    rpc = box.send(timeout=0)
     rpc.target = box.now + time_left
     box.at_call(rpc)
-    timeout = [a.span for a in box.log if a.rpc is rpc and a.do is Do.CALL][0]
+    timeout = [a.duration for a in box.actions if a.rpc is rpc and a.kind is ActionKind.CALL][0]
     assert (timeout > time_left) is until_due
 
 
 @pytest.mark.parametrize("hint, rejected", [(100_000, False), (4_000_000, True)])
 def test_rejects_rpc_whose_work_hint_does_not_fit_its_target(hint, rejected):
-    box = Box(lookup(latency_target=2 * SECOND))
+    box = ControlHarness(lookup(latency_target=2 * SECOND))
     for _ in range(4):  # runs take as long as their hints
-        rpc = box.send(hint=200_000)
+        rpc = box.send(work_hint=200_000)
         box.now += 200_000
         box.end(rpc)
     box.fill()
-    rpc = box.send(hint=hint)
+    rpc = box.send(work_hint=hint)
     assert (PUSH_BACK in box.did(rpc)) is rejected
 
 
 @pytest.mark.parametrize("per_work, equal", [(False, False), (True, True)])
 def test_criticality_per_work_gives_long_and_short_methods_the_same_value_of_core_time(per_work, equal):
     short, long = lookup(latency_target=8 * SECOND), lookup(latency_target=8 * SECOND)
-    box = Box(short, long, by_work=per_work)
+    box = ControlHarness(short, long, criticality_per_work=per_work)
     for method, cost in ((short, 50_000), (long, 800_000)):
         for _ in range(6):
             rpc = box.send(method)
@@ -496,53 +496,53 @@
     for _ in range(400):  # of both methods far more than the cores can take
         box.send(short)
         box.send(long)
-    box.wait(SECOND)
+    box.advance(SECOND)
     rates = {c.method: c.rho / c.arrivals.read(box.now) for c in box.control.clients.values()}
     assert (rates[long] > 0.8 * rates[short]) is equal
 
 
 def test_run_limit_grows_while_cores_idle_and_decays_under_load():
-    box = Box(cores=2)
-    box.fill(many=12)
-    box.wait(SECOND // 5, cores=0.5, crowd=1.0)  # the runs wait for disk
-    grown = box.control.lim
-    assert grown >= 5 and box.control.places["held"] > 0
-    box.wait(SECOND, cores=1.0, crowd=6.0)
-    assert box.control.places["held"] > 0 and 2 <= box.control.lim < 2 + (grown - 2) * 0.5
+    box = ControlHarness(cores=2)
+    box.fill(count=12)
+    box.advance(SECOND // 5, cores=0.5, crowd=1.0)  # the runs wait for disk
+    grown = box.control.run_limit
+    assert grown >= 5 and box.control.state_counts["held"] > 0
+    box.advance(SECOND, cores=1.0, crowd=6.0)
+    assert box.control.state_counts["held"] > 0 and 2 <= box.control.run_limit < 2 + (grown - 2) * 0.5
 
 
 @pytest.mark.parametrize("retries, redirected", [(0, 21), (90, 1)])
 def test_rejections_advise_a_retry_elsewhere_unless_peers_are_overloaded_too(retries, redirected):
-    box = Box(lookup(latency_target=SECOND // 2), memory=200.0)
+    box = ControlHarness(lookup(latency_target=SECOND // 2), memory=200.0)
     for n in range(90):
-        box.send(further=n < retries)
-    flags = [a.flag for a in box.log if a.do is PUSH_BACK]  # without marked retries a quarter may retry elsewhere
+        box.send(is_retry=n < retries)
+    flags = [a.flag for a in box.actions if a.kind is PUSH_BACK]  # without marked retries a quarter may retry elsewhere
     assert len(flags) > 80 and flags[-1] and abs(flags.count(False) - redirected) <= 3
 
 
 @pytest.mark.parametrize("hint, healthy", [(4 * SECOND, True), (SECOND // 10, False)])
 def test_long_run_announced_by_its_hint_is_no_hang(hint, healthy):
-    box = Box(lookup(latency_target=SECOND, deadline=90 * SECOND))
+    box = ControlHarness(lookup(latency_target=SECOND, deadline=90 * SECOND))
     for _ in range(3):  # runs take as long as their hints
-        quick = box.send(hint=SECOND // 10)
+        quick = box.send(work_hint=SECOND // 10)
         box.now += SECOND // 10
         box.end(quick)
-    box.send(hint=hint)
-    box.wait(3 * SECOND, cores=0.5, crowd=1.0)
+    box.send(work_hint=hint)
+    box.advance(3 * SECOND, cores=0.5, crowd=1.0)
     assert box.control.healthy is healthy
 
 
 @pytest.mark.parametrize("with_tenant, level, starts", [(True, 1, True), (True, 2, False), (False, 1, False)])
 def test_rpc_within_its_quota_needs_no_margin_and_may_retry_elsewhere_under_rejection(with_tenant, level, starts):
     tenant = Tenant(10.0) if with_tenant else None
-    box = Box(lookup(latency_target=SECOND), tenants=[tenant] if with_tenant else [], memory=400.0)
+    box = ControlHarness(lookup(latency_target=SECOND), tenants=[tenant] if with_tenant else [], memory=400.0)
     for _ in range(20):
-        box.control.runs[box.methods[0]].add(9 * SECOND // 10, box.now)
+        box.control.run_times[box.methods[0]].add(9 * SECOND // 10, box.now)
     for _ in range(5):  # no memory for these: many are rejected, here and elsewhere
-        box.send(tenant=tenant, size=500.0, further=True)
+        box.send(tenant=tenant, size=500.0, is_retry=True)
         box.now += 2 * SECOND
-    sent = [box.send(tenant=tenant, size=500.0, further=True) for _ in range(60)]
+    sent = [box.send(tenant=tenant, size=500.0, is_retry=True) for _ in range(60)]
     rpc = next(rpc for rpc in sent[1:] if (rpc.level == 1) is (level == 1))
     rpc.target = box.now + 8 * SECOND // 10
-    assert box.control._hopeless(rpc) is not starts
-    assert [a.flag for a in box.log if a.rpc is rpc] == [not starts]
+    assert box.control._misses_target(rpc) is not starts
+    assert [a.flag for a in box.actions if a.rpc is rpc] == [not starts]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,30 +11,30 @@
 import msgspec
 import pytest
 import structlog
-from helpers import SETTINGS, Answering, Interpreter, reply, until
+from helpers import SETTINGS, Interpreter, ScriptedHttpServer, reply, wait_until
 from typer.testing import CliRunner
 
 from hollystage.cli import app
-from hollystage.decisions.budgets import words as budgets
-from hollystage.decisions.leases import words as leases
-from hollystage.decisions.membership.doors import Doors, Verdict
-from hollystage.decisions.membership.records import Digest, News, Record, Stage
-from hollystage.decisions.membership.terms import Terms
-from hollystage.decisions.membership.words import Ack, Answer, Ask, Nack, Opening, Ping, Rest
+from hollystage.decisions.budgets import messages as budgets
+from hollystage.decisions.leases import messages as leases
+from hollystage.decisions.membership.messages import Ack, Nack, Ping, PingRequest, SyncPush, SyncRequest, SyncResponse
+from hollystage.decisions.membership.parameters import Parameters
+from hollystage.decisions.membership.records import MemberStatus, Record, Stage, Update
+from hollystage.decisions.membership.replay import ReplayGuard, Verdict
 from hollystage.fleet.agent import Agent
-from hollystage.fleet.codec import DATAGRAM, Challenge, Codec, Envelope, Refused
-from hollystage.fleet.links import Frames
+from hollystage.fleet.codec import MAX_DATAGRAM_BYTES, Challenge, Codec, DecodeFailure, Envelope
+from hollystage.fleet.sockets import FramedStream
 from hollystage.service.config import check_files, load
 from hollystage.service.counters import Counters
 from hollystage.service.driver import Driver, clock
 from hollystage.service.peers import Peers
-from hollystage.settings import Faulty, translate
+from hollystage.settings import ConfigError, translate
 from hollystage.standins.server import free_address
 from hollystage.store import boots
-from hollystage.store.folder import Folder, Unusable
+from hollystage.store.folder import StateError, StateFolder
 
 KEY = bytes(range(32))
-FAST = Terms(period=100_000, timeout=40_000, ask_lost=300_000, again=100_000)
+FAST = Parameters(probe_period=100_000, ack_timeout=40_000, lost_probe_period=300_000, min_sync_interval=100_000)
 LOG = structlog.get_logger()
 
 
@@ -50,7 +50,7 @@
 def make_agent(name, address, configured_peers, boot=None):
     saved_boots = []
     agent = Agent(name, "z", address, address, configured_peers, KEY, "test", FAST, 1, boot or clock() // 1000,
-                  lambda: Digest(stage=Stage.SERVING), saved_boots.append, clock, Counters(), LOG)
+                  lambda: MemberStatus(stage=Stage.SERVING), saved_boots.append, clock, Counters(), LOG)
     agent.saved_boots = saved_boots
     return agent
 
@@ -58,7 +58,7 @@
 def start(*agents):
     import threading
     for agent in agents:
-        for task in (agent.talk_forever, agent.listen_forever, agent.meet_forever):
+        for task in (agent.run_datagrams, agent.accept_streams, agent.run_syncs):
             threading.Thread(target=task, daemon=True).start()
     return agents
 
@@ -72,7 +72,7 @@
 def agents():
     addresses = [unused_address(f"127.0.7.{n}") for n in (1, 2, 3)]
     agents = start(*(make_agent(f"a{n}", address, addresses[:1]) for n, address in enumerate(addresses)))
-    until(lambda: all(len(agent.view.living()) == 3 for agent in agents))
+    wait_until(lambda: all(len(agent.view.living()) == 3 for agent in agents))
     yield agents
     for agent in agents:
         agent.stop()
@@ -80,113 +80,113 @@
 
 # Encoding
 
-PROCESS = leases.Who("b", 7)
+PROCESS = leases.ProcessId("b", 7)
 MESSAGES = [
     leases.Prepare(1, PROCESS, 2, "x", 3), leases.Propose(1, PROCESS, 2, "x"), leases.Release(1, PROCESS, "x"),
     leases.Reply(1, True, 5, PROCESS, 9, "x"), leases.Reply(1, False, 5),
-    budgets.Claim(1, 2, [budgets.Row("calls", 5, 4, 1, 3, 6, 1.5)]),
-    budgets.Parts(1, 2, [budgets.Piece("calls", 4)]), budgets.Elsewhere(1, "b"), budgets.Borrow(1, "calls", 2),
-    budgets.Loan(1, "calls", 2, 500), Ping(1, "b"), Ack(2, "b"), Ask(3, "b", "127.0.0.1:1"), Nack(4),
-    Challenge(5), Opening([1] * 64),
-    Answer([1], [record("c")]), Rest([record("c")])]
+    budgets.Claim(1, 2, [budgets.ClaimRow("calls", 5, 4, 1, 3, 6, 1.5)]),
+    budgets.Grants(1, 2, [budgets.Grant("calls", 4)]), budgets.Redirect(1, "b"), budgets.BorrowRequest(1, "calls", 2),
+    budgets.Loan(1, "calls", 2, 500), Ping(1, "b"), Ack(2, "b"), PingRequest(3, "b", "127.0.0.1:1"), Nack(4),
+    Challenge(5), SyncRequest([1] * 64),
+    SyncResponse([1], [record("c")]), SyncPush([record("c")])]
 
 
 @pytest.mark.parametrize("message", MESSAGES)
 def test_round_trip_and_rejection_of_altered_or_truncated_data(message):
     codec = Codec(KEY, "test")
-    data = codec.pack(Envelope(1, 2, 3, record(), message, [News(record("c"), "d")]))
-    assert codec.unpack(data) == Envelope(1, 2, 3, record(), message, [News(record("c"), "d")])
+    data = codec.pack(Envelope(1, 2, 3, record(), message, [Update(record("c"), "d")]))
+    assert codec.unpack(data) == Envelope(1, 2, 3, record(), message, [Update(record("c"), "d")])
     for at in range(len(data)):
-        assert isinstance(codec.unpack(data[:at] + bytes([data[at] ^ 1]) + data[at + 1:]), Refused)
-        assert isinstance(codec.unpack(data[:at]), Refused)
+        assert isinstance(codec.unpack(data[:at] + bytes([data[at] ^ 1]) + data[at + 1:]), DecodeFailure)
+        assert isinstance(codec.unpack(data[:at]), DecodeFailure)
 
 
 def test_foreign_data_is_rejected_with_its_reason():
     data = Codec(KEY, "test").pack(Envelope(1, 2, 3, record(), Ping(1)))
-    assert Codec(KEY[::-1], "test").unpack(data) is Refused.FORGED
-    assert Codec(KEY, "other").unpack(data) is Refused.CLUSTER
-    assert Codec(KEY, "test").unpack(b"hy\x02" + data[3:]) is Refused.VERSION
-    assert Codec(KEY, "test").unpack(b"GET / HTTP/1.1") is Refused.FOREIGN
-    assert Codec(KEY, "test").unpack(data + bytes(DATAGRAM)) is Refused.OVERSIZED
+    assert Codec(KEY[::-1], "test").unpack(data) is DecodeFailure.FORGED
+    assert Codec(KEY, "other").unpack(data) is DecodeFailure.CLUSTER
+    assert Codec(KEY, "test").unpack(b"hy\x02" + data[3:]) is DecodeFailure.VERSION
+    assert Codec(KEY, "test").unpack(b"GET / HTTP/1.1") is DecodeFailure.FOREIGN
+    assert Codec(KEY, "test").unpack(data + bytes(MAX_DATAGRAM_BYTES)) is DecodeFailure.OVERSIZED
     invalid_name = Codec(KEY, "test").pack(Envelope(1, 2, 3, record(name="a b"), Ping(1)))
-    assert Codec(KEY, "test").unpack(invalid_name) is Refused.GARBAGE
+    assert Codec(KEY, "test").unpack(invalid_name) is DecodeFailure.GARBAGE
 
 
 def test_fields_out_of_bounds_are_rejected():
     codec = Codec(KEY, "test")
-    for message in (leases.Prepare(-1, PROCESS, 2), budgets.Claim(1, 2, [budgets.Row("calls", -5, 4, 1, 3, 6, 1.5)]),
+    for message in (leases.Prepare(-1, PROCESS, 2), budgets.Claim(1, 2, [budgets.ClaimRow("calls", -5, 4, 1, 3, 6, 1.5)]),
                     budgets.Loan(1, "calls", 2, -1)):
-        assert codec.unpack(codec.pack(Envelope(1, 2, 3, record(), message))) is Refused.GARBAGE
+        assert codec.unpack(codec.pack(Envelope(1, 2, 3, record(), message))) is DecodeFailure.GARBAGE
 
 
 def test_budget_messages_are_ignored_without_a_message_handler(agents):
     sender, receiver = agents[:2]
     with sender.lock:
-        sender._post([(receiver.view.me.address, budgets.Elsewhere(1, "x"))])
-        outgoing = sender._ready(clock())
+        sender._enqueue_all([(receiver.view.me.address, budgets.Redirect(1, "x"))])
+        outgoing = sender._take_outgoing(clock())
     sender._send(outgoing)
-    until(lambda: receiver.counters.read().get("fleet.refused.misplaced", 0) > 0)
+    wait_until(lambda: receiver.counters.read().get("fleet.refused.misplaced", 0) > 0)
     assert len(receiver.view.living()) == 3
 
 
 def test_largest_datagram_fits_the_size_limit(agents):
     codec, longest = Codec(KEY, "c" * 64), "x" * 64
     largest = record(longest, zone=longest, address="255.255.255.255:65535", boot=1 << 61, birth=1 << 61,
-                     digest=Digest(1 << 61, 4, 1 << 31, (1 << 61,) * 8, 1 << 39, bytes(64)))
+                     digest=MemberStatus(1 << 61, 4, 1 << 31, (1 << 61,) * 8, 1 << 39, bytes(64)))
     members = agents[0].members
     members.me, updates = largest, [
-        News(msgspec.structs.replace(largest, name=f"{n:064}"), longest) for n in range(9)]
+        Update(msgspec.structs.replace(largest, name=f"{n:064}"), longest) for n in range(9)]
     for update in updates:
-        members.news.add(update)
-    members._send("127.0.0.1:1", Ask(1 << 61, longest, "255.255.255.255:65535"), updates[0].record)
-    sent = members.out.pop()
-    assert len(sent.news) >= 1
-    data = codec.pack(Envelope(1 << 61, 1 << 61, 1 << 61, largest, sent.word, sent.news))
-    assert len(data) <= DATAGRAM and codec.unpack(data).me == largest
+        members.updates.add(update)
+    members._send("127.0.0.1:1", PingRequest(1 << 61, longest, "255.255.255.255:65535"), updates[0].record)
+    sent = members.actions.pop()
+    assert len(sent.updates) >= 1
+    data = codec.pack(Envelope(1 << 61, 1 << 61, 1 << 61, largest, sent.message, sent.updates))
+    assert len(data) <= MAX_DATAGRAM_BYTES and codec.unpack(data).sender == largest
 
 
 def test_replay_guard_accepts_each_envelope_of_a_current_session_once():
-    doors = Doors(10)
+    doors = ReplayGuard(10)
     assert doors.admit(1, 1, 10) is Verdict.GOOD and doors.admit(1, 1, 10) is Verdict.REPLAYED
     assert doors.admit(2, 1, 10) is Verdict.GOOD and doors.admit(1, 2, 9) is Verdict.UNBOUND
     assert doors.admit(1, 3, 0) is Verdict.UNBOUND
-    doors.turn(11)
+    doors.rotate_session(11)
     assert doors.admit(1, 1, 10) is Verdict.REPLAYED and doors.admit(1, 5, 11) is Verdict.GOOD
-    doors.turn(12)
+    doors.rotate_session(12)
     assert doors.admit(1, 6, 10) is Verdict.UNBOUND
-    for birth in range(doors.most + 50):
+    for birth in range(doors.max_entries + 50):
         doors.admit(birth, 1, 12)
-        doors.learn(f"10.0.0.1:{birth}", 5)
-    assert len(doors.windows) <= doors.most and len(doors.theirs) <= doors.most
+        doors.learn_session(f"10.0.0.1:{birth}", 5)
+    assert len(doors.windows) <= doors.max_entries and len(doors.peer_sessions) <= doors.max_entries
 
 
 # Agents
 
 def test_three_agents_see_each_other_and_each_status(agents):
-    assert all(record.digest.stage == Stage.SERVING for agent in agents for record in agent.view.living())
+    assert all(record.status.stage == Stage.SERVING for agent in agents for record in agent.view.living())
     agents[2].leave()
     agents[2].stop()
-    until(lambda: sees(agents[0], "a1") and sees(agents[1], "a0"))
-    assert agents[0].view.others["a2"].digest.stage == Stage.LEFT
+    wait_until(lambda: sees(agents[0], "a1") and sees(agents[1], "a0"))
+    assert agents[0].view.others["a2"].status.stage == Stage.LEFT
 
 
 def test_stopped_agent_is_lost_and_its_successor_gets_a_greater_boot_number(agents):
     dead = agents[1]
     dead.stop()
-    until(lambda: sees(agents[0], "a2") and sees(agents[2], "a0"), 20)
+    wait_until(lambda: sees(agents[0], "a2") and sees(agents[2], "a0"), 20)
     successor = make_agent("a1", dead.bind, [agents[2].bind], boot=17)  # a number from a clock that is far behind
     start(successor)
-    until(lambda: sees(agents[0], "a1", "a2") and sees(successor, "a0", "a2"), 20)
+    wait_until(lambda: sees(agents[0], "a1", "a2") and sees(successor, "a0", "a2"), 20)
     assert successor.view.me.boot > dead.view.me.boot and successor.saved_boots[-1] == successor.view.me.boot
-    until(lambda: agents[0].view.others["a1"].process == successor.view.me.process)
+    wait_until(lambda: agents[0].view.others["a1"].process == successor.view.me.process)
     successor.stop()
 
 
 def test_of_two_processes_with_one_name_the_earlier_is_ousted(agents):
     other = make_agent("a1", unused_address("127.0.7.9"), [agents[0].bind], boot=clock() // 1000 + 60_000)
     start(other)
-    until(lambda: agents[1].view.ousted, 20)
-    until(lambda: agents[0].view.others["a1"].process == other.view.me.process)
+    wait_until(lambda: agents[1].view.ousted, 20)
+    wait_until(lambda: agents[0].view.others["a1"].process == other.view.me.process)
     assert not other.view.ousted
     other.stop()
 
@@ -195,13 +195,13 @@
     target, codec, rng = agents[0], Codec(KEY, "test"), random.Random(1)
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     captured = []
-    send = agents[1].links.send
-    agents[1].links.send = lambda address, data: (captured.append(data) if address == target.bind else None) or send(
+    send = agents[1].sockets.send
+    agents[1].sockets.send = lambda address, data: (captured.append(data) if address == target.bind else None) or send(
         address, data)
-    until(lambda: len(captured) > 5)
+    wait_until(lambda: len(captured) > 5)
     # authentic data that an earlier process might have sent: it names no current session of the target
     outdated = [codec.pack(Envelope(5, session, counter, record("a2", boot=1 << 60, birth=9), Ping(1), [
-        News(record("ghost"), "a1"), News(record("a1", boot=1 << 59), "a2")]))
+        Update(record("ghost"), "a1"), Update(record("a1", boot=1 << 59), "a2")]))
         for counter, session in enumerate((0, 1, 1 << 60, -1))]
     before = target.view.others.keys(), target.view.others["a1"].boot, target.view.others["a2"].boot
     sent = 0
@@ -210,12 +210,12 @@
         at, old = rng.randrange(len(valid)), rng.choice(outdated)
         for data in (valid, valid[:at] + bytes([valid[at] ^ 1 << rng.randrange(8)]) + valid[at + 1:], valid[:at], old,
                      valid + bytes(1200), rng.randbytes(at)):
-            sock.sendto(data, target.links.bind)
+            sock.sendto(data, target.sockets.bind)
             sent += 1
         if sent % 600 == 0:
             time.sleep(0.01)
     sock.close()
-    until(lambda: target.counters.read().get("fleet.refused.replayed", 0) > 100)
+    wait_until(lambda: target.counters.read().get("fleet.refused.replayed", 0) > 100)
     assert (target.view.others.keys(), target.view.others["a1"].boot, target.view.others["a2"].boot) == before
     assert "ghost" not in target.view.others and sees(target, "a1", "a2")
     counts = target.counters.read()
@@ -226,13 +226,13 @@
 def test_streams_without_the_key_are_closed_and_limited_in_number(agents):
     target = agents[0]
     before = target.view.others.keys()
-    silent = [socket.create_connection(target.links.bind) for _ in range(8)]
-    until(lambda: target.counters.read().get("fleet.streams_refused", 0) >= 4)
+    silent = [socket.create_connection(target.sockets.bind) for _ in range(8)]
+    wait_until(lambda: target.counters.read().get("fleet.streams_refused", 0) >= 4)
     for sock in silent:
         sock.close()
-    until(lambda: target.streams._value == 4)
+    wait_until(lambda: target.stream_slots._value == 4)
     for data in (b"GET / HTTP/1.1\r\n\r\n", b"\xff\xff\xff\xff", b"\0\0\0\5hello", b"\0\0\0\0"):
-        with socket.create_connection(target.links.bind) as sock:
+        with socket.create_connection(target.sockets.bind) as sock:
             sock.settimeout(5)
             try:
                 sock.sendall(data)
@@ -240,12 +240,12 @@
                 assert sock.recv(100) == b""
             except OSError as error:
                 assert not isinstance(error, TimeoutError)  # a close at any moment is right; no answer is not
-    unexpected = Codec(KEY, "test").pack(Envelope(1, 0, 1, record("x"), Rest([record("ghost")])))
-    with socket.create_connection(target.links.bind) as sock:
-        stream = Frames(sock, time.monotonic() + 5)
+    unexpected = Codec(KEY, "test").pack(Envelope(1, 0, 1, record("x"), SyncPush([record("ghost")])))
+    with socket.create_connection(target.sockets.bind) as sock:
+        stream = FramedStream(sock, time.monotonic() + 5)
         stream.send(unexpected)
-        session = Codec(KEY, "test").unpack(stream.read(9999)).door
-        stream.send(Codec(KEY, "test").pack(Envelope(1, session, 2, record("x"), Rest([record("ghost")]))))
+        session = Codec(KEY, "test").unpack(stream.read(9999)).session
+        stream.send(Codec(KEY, "test").pack(Envelope(1, session, 2, record("x"), SyncPush([record("ghost")]))))
         assert sock.recv(100) == b""  # a SyncPush without a request before it
     assert target.view.others.keys() == before
 
@@ -256,9 +256,9 @@
     other = socket.create_server((host, int(port)))
     agent = make_agent("a", address, [])
     start(agent)
-    until(lambda: agent.counters.read().get("fleet.not_bound", 0) >= 1)
+    wait_until(lambda: agent.counters.read().get("fleet.not_bound", 0) >= 1)
     other.close()
-    assert agent.opened.wait(5)
+    assert agent.sockets_open.wait(5)
     agent.stop()
 
 
@@ -314,7 +314,7 @@
 
 def test_instance_shows_its_members_to_holders_of_the_key(tmp_path, plan):
     path = tmp_path / "config.json"
-    interpreter, control = Interpreter(), Answering(reply(204))
+    interpreter, control = Interpreter(), ScriptedHttpServer(reply(204))
     path.write_text(json.dumps(config_fields(vm=address_text(interpreter.address),
                                              control=address_text(control.address))))
     command = [sys.executable, "-m", "hollystage", "serve", "--config", str(path), "--plan", str(plan)]
@@ -325,7 +325,7 @@
         other.write_bytes(KEY[::-1])
         other.chmod(0o600)
         invoke = CliRunner().invoke
-        result = until(lambda: (
+        result = wait_until(lambda: (
             r := invoke(app, ["fleet", "members", bind, "--key", str(key), "--json"])).exit_code == 0
             and json.loads(r.stdout)["members"][0]["stage"] == "serving" and r, 15)
         (row,) = json.loads(result.stdout)["members"]
@@ -349,7 +349,7 @@
     key = tmp_path / "key"
     key.chmod(0o644)
     config = load(str(path), str(plan))
-    with pytest.raises(Faulty, match="fleet.key: .* can be read by others"):
+    with pytest.raises(ConfigError, match="fleet.key: .* can be read by others"):
         check_files(config)
 
     class LogLines:
@@ -359,7 +359,7 @@
             self.lines.append((event, more["why"]))
         warning = info = error
 
-    locked = Folder(str(tmp_path / "state"), "other")
+    locked = StateFolder(str(tmp_path / "state"), "other")
     driver = Driver(translate(config.settings), 1, Counters())
     peers = Peers(config, driver, None, Counters(), LogLines())
     assert peers.agent is None and peers.folder is None and peers.tasks() == []
@@ -381,12 +381,12 @@
 
 def test_boot_numbers_always_increase_whatever_the_clock_shows(tmp_path):
     log = WarningLog()
-    folder = Folder(str(tmp_path / "s"), "a")
+    folder = StateFolder(str(tmp_path / "s"), "a")
     numbers = [boots.next_boot(folder, clock_ms, log) for clock_ms in (1000, 900, 0, 5000, 5000, -7)]
     assert numbers == [1000, 1001, 1002, 5000, 5001, 5002] and not log.lines
     assert boots.next_boot(None, 33, log) == 33
-    with pytest.raises(Unusable, match=r"is locked by a, process \d+"):
-        Folder(str(tmp_path / "s"), "a")
+    with pytest.raises(StateError, match=r"is locked by a, process \d+"):
+        StateFolder(str(tmp_path / "s"), "a")
     folder.close()
 
 
@@ -397,7 +397,7 @@
     (lambda d: d.replace(b" a ", b" b "), "corrupt"), (lambda d: bytes(9), "is not a state file")])
 def test_damaged_boot_file_is_logged_and_replaced(tmp_path, change, reason):
     log, path = WarningLog(), tmp_path / "s" / "boot"
-    folder = Folder(str(tmp_path / "s"), "a")
+    folder = StateFolder(str(tmp_path / "s"), "a")
     boots.next_boot(folder, 5000, log)
     path.write_bytes(change(path.read_bytes()))
     assert boots.next_boot(folder, 70, log) == 70 and reason in log.lines[0]
@@ -406,16 +406,16 @@
 
 
 def test_state_of_another_instance_is_ignored(tmp_path):
-    folder, log = Folder(str(tmp_path / "s"), "b"), WarningLog()
+    folder, log = StateFolder(str(tmp_path / "s"), "b"), WarningLog()
     boots.next_boot(folder, 9000, log)
     folder.close()
-    folder = Folder(str(tmp_path / "s"), "a")
+    folder = StateFolder(str(tmp_path / "s"), "a")
     assert boots.next_boot(folder, 5, log) == 5 and "belongs to b" in log.lines[0]
     folder.close()
 
 
 def test_failing_disk_is_logged_and_leaves_the_old_file(tmp_path, monkeypatch):
-    folder, log = Folder(str(tmp_path / "s"), "a"), WarningLog()
+    folder, log = StateFolder(str(tmp_path / "s"), "a"), WarningLog()
     boots.next_boot(folder, 40, log)
     for call, number in (("write", 28), ("fsync", 5), ("open", 30), ("rename", 28)):
         with monkeypatch.context() as patch:
@@ -427,7 +427,7 @@
     assert boots.next_boot(folder, 0, log) == 41
     assert stat.S_IMODE(os.stat(tmp_path / "s").st_mode) == 0o700
     folder.close()
-    with pytest.raises(Unusable, match="cannot be used"):
-        Folder("/proc/nothing/here", "a")
+    with pytest.raises(StateError, match="cannot be used"):
+        StateFolder("/proc/nothing/here", "a")
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -10,7 +10,7 @@
 TESTS = "def test_good():\n    pass\n\n\ndef test_bad():\n    assert False\n\n\ndef test_worse():\n    assert False\n"
 
 
-def run(folder, listed):
+def run_pytest(folder, listed):
     """Runs pytest on a folder with this list; returns the exit code and the output."""
     (folder / "test_some.py").write_text(TESTS)
     (folder / "conftest.py").write_text((HERE / "conftest.py").read_text())
@@ -25,7 +25,7 @@
 
 
 def test_listed_tests_are_deselected_and_printed(tmp_path):
-    code, output = run(tmp_path, BAD + WORSE)
+    code, output = run_pytest(tmp_path, BAD + WORSE)
     assert code == 0 and "1 passed, 2 deselected" in output
     assert "test_some.py::test_bad: slow disk (issue 7)" in output and "a cause, with a comma (issue 8)" in output
 
@@ -37,5 +37,5 @@
     ("test_some.py::test_bad, 7\n", 4, "KNOWN-RED.txt:1: not of the form"),
 ])
 def test_other_failures_and_bad_lists_fail_the_run(tmp_path, listed, code, words):
-    actual, output = run(tmp_path, listed)
+    actual, output = run_pytest(tmp_path, listed)
     assert actual == code and words in output
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -9,10 +9,10 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from hollystage.language.faults import Faults, Unusable
-from hollystage.language.format import formatted
-from hollystage.language.sources import LARGEST, Disk, Memory, text_of
-from hollystage.plan.compare import compare, script
+from hollystage.language.diagnostics import Diagnostics, ScriptError
+from hollystage.language.format import format_source
+from hollystage.language.sources import MAX_SOURCE_BYTES, DiskFolder, MemoryFolder, decode_source
+from hollystage.plan.compare import compare, to_script
 from hollystage.plan.read import read, read_file
 
 HERE = pathlib.Path(__file__).parent / "corpus"
@@ -30,7 +30,7 @@
 @pytest.mark.parametrize("name, messages", expected().items())
 def test_broken_file_gives_expected_messages(name, messages):
     result = read_file(str(HERE / "bad" / f"{name}.star"))
-    assert [str(diagnostic) for diagnostic in result.faults] == messages
+    assert [str(diagnostic) for diagnostic in result.diagnostics] == messages
     assert result.errors or name == "unused"
 
 
@@ -40,30 +40,30 @@
 
 
 def read_text(text, name="a.star"):
-    return read(Memory({name: text if isinstance(text, bytes) else text.encode()}), name)
+    return read(MemoryFolder({name: text if isinstance(text, bytes) else text.encode()}), name)
 
 
 @pytest.mark.parametrize("path", GOOD, ids=lambda path: path.stem)
 def test_formatting_preserves_meaning_and_is_idempotent(path):
-    text = text_of(path.read_bytes(), path.name, Faults())
-    formatted_text = formatted(text, path.name)
-    assert formatted(formatted_text, path.name) == formatted_text
+    text = decode_source(path.read_bytes(), path.name, Diagnostics())
+    formatted_text = format_source(text, path.name)
+    assert format_source(formatted_text, path.name) == formatted_text
     files = {str(p.relative_to(path.parent)): p.read_bytes() for p in path.parent.glob("**/*.star")}
-    before, after = read_file(str(path)), read(Memory(files | {path.name: formatted_text.encode()}), path.name)
+    before, after = read_file(str(path)), read(MemoryFolder(files | {path.name: formatted_text.encode()}), path.name)
     assert not before.errors and not after.errors
     assert compare(before.plan, after.plan) == [] and len(before.plan.entries) == len(after.plan.entries)
     assert comments(text) == comments(formatted_text)
 
 
 def comments(text):
-    from hollystage.language.tokens import tokens
-    return sorted(token.text.lstrip("# ").rstrip() for token in tokens(text) if token.type == "COMMENT")
+    from hollystage.language.tokens import tokenize
+    return sorted(token.text.lstrip("# ").rstrip() for token in tokenize(text) if token.type == "COMMENT")
 
 
 @pytest.mark.parametrize("path", GOOD, ids=lambda path: path.stem)
 def test_printed_plan_is_equivalent(path):
     plan = read_file(str(path)).plan
-    shown = read_text(script(plan))
+    shown = read_text(to_script(plan))
     assert not shown.errors and compare(plan, shown.plan) == []
 
 
@@ -126,7 +126,7 @@
             return [without_positions(item) for item in part if type(item).__name__ != "At"]
         return part
 
-    diagnostics = Faults()
+    diagnostics = Diagnostics()
     nodes, _ = Parser().parse(text, "a.star", diagnostics)
     assert not diagnostics.errors(), [str(diagnostic) for diagnostic in diagnostics.all()]
     return without_positions(nodes)
@@ -135,8 +135,8 @@
 @SAMPLE
 @given(PROGRAMS)
 def test_formatting_preserves_syntax_tree(text):
-    formatted_text = formatted(text, "a.star")
-    assert tree_shape(formatted_text) == tree_shape(text) and formatted(formatted_text, "a.star") == formatted_text
+    formatted_text = format_source(text, "a.star")
+    assert tree_shape(formatted_text) == tree_shape(text) and format_source(formatted_text, "a.star") == formatted_text
     assert comments(text) == comments(formatted_text)
 
 
@@ -147,12 +147,12 @@
                                            "x"]), max_size=60).map("".join).map(str.encode)))
 def test_any_input_gives_diagnostics_or_a_plan(data):
     result = read_text(data)
-    assert all(diagnostic.where.line >= 1 and diagnostic.where.column >= 1 and diagnostic.what and diagnostic.fix
-               for diagnostic in result.faults)
+    assert all(diagnostic.location.line >= 1 and diagnostic.location.column >= 1 and diagnostic.message and diagnostic.fix
+               for diagnostic in result.diagnostics)
     try:
-        formatted(data.decode("utf-8", "replace"), "a.star")
-    except Unusable as error:
-        assert error.faults
+        format_source(data.decode("utf-8", "replace"), "a.star")
+    except ScriptError as error:
+        assert error.diagnostics
 
 
 @pytest.mark.parametrize("cut", range(0, 600, 7))
@@ -160,7 +160,7 @@
     result = read_file(str(EXAMPLES / "counter.star"))
     text = (EXAMPLES / "counter.star").read_bytes()[:cut]
     files = {"shared/promises.star": (EXAMPLES / "shared" / "promises.star").read_bytes(), "counter.star": text}
-    truncated = read(Memory(files), "counter.star")
+    truncated = read(MemoryFolder(files), "counter.star")
     assert truncated.errors or len(truncated.plan.entries) < len(result.plan.entries)
 
 
@@ -187,13 +187,13 @@
     result = read_text(data)
     assert result.errors or data.strip() == b"" or data.startswith(b"x = ")
     # takes about a second here; CI may be slower; an evaluation without bounds would take minutes
-    assert time.process_time() - started_at < 6 and len(result.faults) <= 1001
+    assert time.process_time() - started_at < 6 and len(result.diagnostics) <= 1001
     assert resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - memory_before < 400_000
 
 
 def test_diagnostics_are_limited_and_the_rest_counted():
     result = read_text("y = z\n" * 5000)
-    assert len(result.faults) == 1000 and result.left_out > 0
+    assert len(result.diagnostics) == 1000 and result.left_out > 0
 
 
 # Files
@@ -203,7 +203,7 @@
     (tmp_path / "secret.star").write_text("X = 1\n")
     os.symlink(tmp_path / "secret.star", tmp_path / "plan" / "link.star")
     (tmp_path / "plan" / "a.star").write_text('load("link.star", "X")\nfleet(instances = X)\n')
-    (message,) = read_file(str(tmp_path / "plan" / "a.star")).faults
+    (message,) = read_file(str(tmp_path / "plan" / "a.star")).diagnostics
     assert str(message) == ('a.star:1:6: "link.star" is a symbolic link out of the folder of the plan; '
                             "fix: copy the file into the folder")
 
@@ -211,12 +211,12 @@
 def test_rejects_too_many_too_large_and_missing_files(tmp_path):
     for number in range(70):
         (tmp_path / f"f{number}.star").write_text(f'load("f{number + 1}.star", "X")\nX2 = X\n')
-    texts = [str(diagnostic) for diagnostic in read_file(str(tmp_path / "f0.star")).faults]
+    texts = [str(diagnostic) for diagnostic in read_file(str(tmp_path / "f0.star")).diagnostics]
     assert "f63.star:1:6: more than 64 files; fix: merge some of them" in texts
-    (tmp_path / "f0.star").write_bytes(b"#" * (LARGEST + 1))
-    assert "more than 1024 KiB" in str(read_file(str(tmp_path / "f0.star")).faults[0])
-    assert "does not exist" in str(read_file(str(tmp_path / "none.star")).faults[0])
-    assert Disk(str(tmp_path)).read("f1.star").startswith(b"load")
+    (tmp_path / "f0.star").write_bytes(b"#" * (MAX_SOURCE_BYTES + 1))
+    assert "more than 1024 KiB" in str(read_file(str(tmp_path / "f0.star")).diagnostics[0])
+    assert "does not exist" in str(read_file(str(tmp_path / "none.star")).diagnostics[0])
+    assert DiskFolder(str(tmp_path)).read("f1.star").startswith(b"load")
 
 
 def test_recursion_limit_is_restored():
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -10,12 +10,12 @@
 import pytest
 from msgspec.structs import replace
 
-from hollystage.decisions.leases.seeker import Seeker
-from hollystage.decisions.leases.terms import Electorate, Terms, one_apart
-from hollystage.decisions.leases.voter import LEASES, Booth, Voter
-from hollystage.decisions.leases.words import Prepare, Propose, Release, Reply, Who, sane
+from hollystage.decisions.leases.candidate import Candidate
+from hollystage.decisions.leases.messages import Prepare, ProcessId, Propose, Release, Reply, is_valid
+from hollystage.decisions.leases.parameters import LeaseParameters, VoterSet, differ_by_one_voter
+from hollystage.decisions.leases.voter import MAX_LEASES, Voter, VoterTable
 
-TERMS = Terms(length=1_000_000, drift=0.05, margin=5_000)
+PARAMETERS = LeaseParameters(duration=1_000_000, drift=0.05, margin=5_000)
 
 
 class World:
@@ -25,7 +25,7 @@
     the first moment at which it may promise again.
     """
 
-    def __init__(self, seed, voters=3, candidates=2, loss=0.02, voter=Voter, candidate=Seeker, crashes=True,
+    def __init__(self, seed, voters=3, candidates=2, loss=0.02, voter=Voter, candidate=Candidate, crashes=True,
                  eager=False):
         self.rng = random.Random(seed)
         self.classes, self.loss, self.crashes, self.eager = (voter, candidate), loss, crashes, eager
@@ -39,7 +39,7 @@
             self._candidate(f"s{n}")
 
     def _clock(self, name):
-        self.clocks[name] = (self.rng.choice([1 - TERMS.drift, 1 + TERMS.drift]), self.rng.randrange(1 << 40))
+        self.clocks[name] = (self.rng.choice([1 - PARAMETERS.drift, 1 + PARAMETERS.drift]), self.rng.randrange(1 << 40))
 
     def local_time(self, name):
         rate, offset = self.clocks[name]
@@ -48,12 +48,12 @@
     def _voter(self, name):
         self._clock(name)
         self.boots += 1
-        return self.classes[0](TERMS, self.local_time(name), 1_000 * self.boots)
+        return self.classes[0](PARAMETERS, self.local_time(name), 1_000 * self.boots)
 
     def _candidate(self, name):
         self._clock(name)
         self.boots += 1
-        self.candidates[name] = self.classes[1](TERMS, Who(name, self.boots), Electorate(tuple(self.voter_names)),
+        self.candidates[name] = self.classes[1](PARAMETERS, ProcessId(name, self.boots), VoterSet(tuple(self.voter_names)),
                                                 self.rng.getrandbits(32), self.local_time(name), self.boots)
 
     def schedule(self, when, callback):
@@ -84,11 +84,11 @@
         handle = voter.propose if isinstance(message, Propose) else voter.prepare
         reply = handle(message, self.local_time(voter_name))
         self.send(lambda: self.candidates[name] is candidate and self.send_requests(
-            name, candidate.heard(voter_name, reply, self.local_time(name))))
+            name, candidate.receive(voter_name, reply, self.local_time(name))))
 
     def check_invariants(self):
-        acting = [(name, candidate.number) for name, candidate in self.candidates.items()
-                  if candidate.held(self.local_time(name))]
+        acting = [(name, candidate.ballot) for name, candidate in self.candidates.items()
+                  if candidate.holds_lease(self.local_time(name))]
         if len(acting) > 1:
             self.violations.append("two holders at once")
         for name, ballot in acting:
@@ -103,7 +103,7 @@
             while self.queue and self.queue[0][0] <= self.now:
                 heappop(self.queue)[2]()
             for name, candidate in list(self.candidates.items()):
-                if self.eager and candidate.stage == "idle" and not candidate.held(self.local_time(name)):
+                if self.eager and candidate.phase == "idle" and not candidate.holds_lease(self.local_time(name)):
                     candidate.next_at = min(candidate.next_at, self.local_time(name) + self.rng.randrange(60_000))
                 if self.rng.random() < 0.9:  # otherwise its tick is late
                     self.send_requests(name, candidate.tick(self.local_time(name)))
@@ -116,7 +116,7 @@
                     self.voters[name] = self._voter(name)  # without its state
             if self.crashes and self.rng.random() < 0.002:
                 for name in self.candidates:
-                    if self.candidates[name].held(self.local_time(name)):
+                    if self.candidates[name].holds_lease(self.local_time(name)):
                         self.cut_until[name] = self.now + 1_300_000
             if self.crashes and self.rng.random() < 0.002:
                 candidate = self.rng.choice(list(self.candidates.values()))
@@ -146,91 +146,91 @@
 
 def test_lease_moves_to_another_candidate_after_release_and_after_crash():
     world = World(1, loss=0.0, crashes=False).run(6)
-    name = next(name for name, candidate in world.candidates.items() if candidate.held(world.local_time(name)))
+    name = next(name for name, candidate in world.candidates.items() if candidate.holds_lease(world.local_time(name)))
     world.candidates[name].wanted = False
     world.run(0.02)
-    assert not world.candidates[name].held(world.local_time(name))
+    assert not world.candidates[name].holds_lease(world.local_time(name))
     world.run(2.5)
-    other = next(name for name, candidate in world.candidates.items() if candidate.held(world.local_time(name)))
+    other = next(name for name, candidate in world.candidates.items() if candidate.holds_lease(world.local_time(name)))
     assert other != name
     crashed = world.candidates.pop(other)
     world.candidates[name].wanted = True
     world.run(2.5)
-    assert world.candidates[name].held(world.local_time(name)) and world.candidates[name].number > crashed.number
+    assert world.candidates[name].holds_lease(world.local_time(name)) and world.candidates[name].ballot > crashed.ballot
 
 
 def test_no_ballot_for_an_act_past_the_lease_and_a_fenced_candidate_uses_a_greater_one():
     world = World(1, loss=0.0, crashes=False).run(6)
-    name, holder = next((n, c) for n, c in world.candidates.items() if c.held(world.local_time(n)))
+    name, holder = next((n, c) for n, c in world.candidates.items() if c.holds_lease(world.local_time(n)))
     now = world.local_time(name)
-    assert holder.may_act(now, 1_000) == holder.number and holder.may_act(now, TERMS.length) == 0
-    holder.refused(10 ** 9)
-    assert not holder.held(now)
+    assert holder.fencing_ballot(now, 1_000) == holder.ballot and holder.fencing_ballot(now, PARAMETERS.duration) == 0
+    holder.on_fenced(10 ** 9)
+    assert not holder.holds_lease(now)
     world.run(4)
-    assert max(candidate.number for candidate in world.candidates.values()) > 10 ** 9
+    assert max(candidate.ballot for candidate in world.candidates.values()) > 10 ** 9
 
 
 # Seeded faults, each of which must be detected
 
-class Hasty(Seeker):
+class CountsFromReply(Candidate):
     """Counts the lease from the reply instead of the request."""
 
-    def heard(self, voter, reply, now):
-        before = self.ends
+    def receive(self, voter, reply, now):
+        before = self.held_until
         out = super().receive(voter, reply, now)
-        if self.ends != before and self.ends:
-            self.ends = now + self.terms.holds
+        if self.held_until != before and self.held_until:
+            self.held_until = now + self.parameters.holder_duration
         return out
 
 
-class NoDrift(Seeker):
+class IgnoresDrift(Candidate):
     """Subtracts neither drift nor margin from the lease."""
 
-    def heard(self, voter, reply, now):
-        before = self.ends
+    def receive(self, voter, reply, now):
+        before = self.held_until
         out = super().receive(voter, reply, now)
-        if self.ends != before and self.ends:
-            self.ends = self.asked_at + self.terms.length
+        if self.held_until != before and self.held_until:
+            self.held_until = self.requested_at + self.parameters.duration
         return out
 
 
-class Halves(Electorate):
+class HalfQuorumVoterSet(VoterSet):
     """Accepts half of the voters as a quorum."""
 
-    def enough(self, accepted_by):
+    def is_quorum(self, accepted_by):
         return 2 * len(accepted_by) >= len(self.voters) - 1
 
 
-class Half(Seeker):
+class HalfQuorum(Candidate):
     """Uses a voter set in which half of the voters are a quorum."""
 
     def __init__(self, parameters, me, voter_set, *more):
-        super().__init__(parameters, me, Halves(*voter_set), *more)
+        super().__init__(parameters, me, HalfQuorumVoterSet(*voter_set), *more)
 
 
-class AnyTurn(Seeker):
+class AcceptsStaleReply(Candidate):
     """Counts a reply to an earlier request for the current one."""
 
-    def heard(self, voter, reply, now):
-        return super().receive(voter, replace(reply, request_id=self.turn), now)
+    def receive(self, voter, reply, now):
+        return super().receive(voter, replace(reply, request_id=self.request_id), now)
 
 
-class Clinging(Seeker):
+class ActsAfterRelease(Candidate):
     """Continues to act after the lease was released."""
 
-    def _give_back(self, now):
-        return self._released()
+    def _release(self, now):
+        return self._release_requests()
 
 
-class Loud(Voter):
+class GrantsAfterRestart(Voter):
     """Grants leases immediately after a restart without its state."""
 
     def __init__(self, *more):
         super().__init__(*more)
-        self.silent_until = 0
+        self.blocked_until = 0
 
 
-class Forgetful(Voter):
+class ForgetsGrant(Voter):
     """Forgets a grant at the next request."""
 
     def propose(self, request, now):
@@ -242,25 +242,25 @@
         return super().prepare(request, now)
 
 
-class Early(Voter):
+class ExpiresEarly(Voter):
     """Lets a grant expire too early."""
 
     def propose(self, request, now):
         reply = super().propose(request, now)
-        if reply.good:
-            self.until -= self.terms.length // 2
+        if reply.accepted:
+            self.granted_until -= self.parameters.duration // 2
         return reply
 
 
-class SameNumber(Voter):
+class ReusesBallot(Voter):
     """Promises one ballot to several candidates."""
 
     def prepare(self, request, now):
-        self.known = min(self.known, request.number - 1)
+        self.highest_ballot = min(self.highest_ballot, request.ballot - 1)
         return super().prepare(request, now)
 
 
-@pytest.mark.parametrize("kind", [Hasty, NoDrift, Half, AnyTurn, Clinging, Loud, Forgetful, Early, SameNumber])
+@pytest.mark.parametrize("kind", [CountsFromReply, IgnoresDrift, HalfQuorum, AcceptsStaleReply, ActsAfterRelease, GrantsAfterRestart, ForgetsGrant, ExpiresEarly, ReusesBallot])
 def test_random_schedules_detect_a_seeded_fault(kind):
     role = {"voter" if issubclass(kind, Voter) else "candidate": kind}
     assert any(World(seed, candidates=3, eager=True, **role).run(15).violations for seed in range(120))
@@ -268,38 +268,38 @@
 
 def test_holder_stops_before_a_new_grant_for_any_drift():
     for drift in (0.0, 0.01, 0.05, 0.3):
-        parameters = Terms(drift=drift)
-        assert (parameters.holds + parameters.margin) / (1 - drift) <= parameters.length / (1 + drift) + 1
+        parameters = LeaseParameters(drift=drift)
+        assert (parameters.holder_duration + parameters.margin) / (1 - drift) <= parameters.duration / (1 + drift) + 1
 
 
 # Voter table, changes of the voter set, bounds of messages
 
-PROCESS, OTHER = Who("a", 1), Who("b", 2)
+PROCESS, OTHER = ProcessId("a", 1), ProcessId("b", 2)
 
 
 def acquire(table, lease, process, now, ballot=10 ** 6):
     """Returns whether the process got the lease."""
-    assert table.asked(Prepare(ballot, process, 1, lease, table.electorate.generation), now).good
-    return table.asked(Propose(ballot, process, 2, lease, table.electorate.generation), now).good
+    assert table.handle_request(Prepare(ballot, process, 1, lease, table.voter_set.generation), now).accepted
+    return table.handle_request(Propose(ballot, process, 2, lease, table.voter_set.generation), now).accepted
 
 
 def test_voter_table_separates_leases_and_evicts_one_without_holder():
-    table = Booth(TERMS, Electorate(("v",)), -10 ** 9, 5)
-    for n in range(LEASES):
+    table = VoterTable(PARAMETERS, VoterSet(("v",)), -10 ** 9, 5)
+    for n in range(MAX_LEASES):
         assert acquire(table, f"l{n}", PROCESS, 0, 100 + n)
-    assert table.asked(Prepare(10 ** 6, PROCESS, 1, "one more"), 0) is None and table.refused == 1
-    table.asked(Release(100, PROCESS, "l0"), 0)
-    assert acquire(table, "one more", OTHER, 0) and len(table.voters) == LEASES
-    table.asked(Release(10 ** 6, OTHER, "one more"), 0)
+    assert table.handle_request(Prepare(10 ** 6, PROCESS, 1, "one more"), 0) is None and table.refused == 1
+    table.handle_request(Release(100, PROCESS, "l0"), 0)
+    assert acquire(table, "one more", OTHER, 0) and len(table.voters) == MAX_LEASES
+    table.handle_request(Release(10 ** 6, OTHER, "one more"), 0)
     # the ballots of an evicted lease are rejected all the same
-    assert (not table.asked(Prepare(100, OTHER, 1, "l0"), 0).good
-            and table.asked(Prepare(10 ** 7, OTHER, 1, "l0"), 0).good)
+    assert (not table.handle_request(Prepare(100, OTHER, 1, "l0"), 0).accepted
+            and table.handle_request(Prepare(10 ** 7, OTHER, 1, "l0"), 0).accepted)
 
 
 @pytest.mark.parametrize("own, requested, accepted", [(0, 0, True), (0, 1, True), (1, 0, False), (0, 2, False)])
 def test_voter_accepts_its_own_generation_and_the_next(own, requested, accepted):
-    table = Booth(TERMS, Electorate(("a", "b", "c"), generation=own), -10 ** 9, 5)
-    assert table.asked(Prepare(10, PROCESS, 1, "x", requested), 0).good is accepted
+    table = VoterTable(PARAMETERS, VoterSet(("a", "b", "c"), generation=own), -10 ** 9, 5)
+    assert table.handle_request(Prepare(10, PROCESS, 1, "x", requested), 0).accepted is accepted
 
 
 def test_majorities_of_voter_sets_that_differ_by_one_intersect():
@@ -309,70 +309,70 @@
         for after in (before + ("z",), before[1:]):
             if not after:
                 continue
-            assert one_apart(before, after)
-            old_set, changed_set = Electorate(before), Electorate(after, before, 1)
+            assert differ_by_one_voter(before, after)
+            old_set, changed_set = VoterSet(before), VoterSet(after, before, 1)
             all_voters = sorted(set(before) | set(after))
             for count in range(len(all_voters) + 1):
                 for accepted_by in map(set, combinations(all_voters, count)):
-                    if changed_set.enough(accepted_by):
-                        assert not old_set.enough(set(before) - accepted_by)
-    assert not one_apart(("a", "b", "c"), ("a", "b", "d"))
+                    if changed_set.is_quorum(accepted_by):
+                        assert not old_set.is_quorum(set(before) - accepted_by)
+    assert not differ_by_one_voter(("a", "b", "c"), ("a", "b", "d"))
 
 
 @pytest.mark.parametrize("message, valid", [
     (Prepare(1, PROCESS, 1, "x"), True), (Prepare(-1, PROCESS, 1, "x"), False),
-    (Propose(1, Who("a" * 65, 1), 1, "x"), False), (Release(1 << 62, PROCESS), False),
+    (Propose(1, ProcessId("a" * 65, 1), 1, "x"), False), (Release(1 << 62, PROCESS), False),
     (Reply(1, True, 5, PROCESS, 10, "x"), True), (Reply(1, True, 5, PROCESS, -1), False),
     (Prepare(1, PROCESS, 1, "x" * 65), False), (Propose(1, PROCESS, 1, "x", -1), False)])
 def test_bounds_of_message_fields(message, valid):
-    assert sane(message) is valid
+    assert is_valid(message) is valid
 
 
 # Exhaustive search to a depth
 
-def explore(depth, voter=Voter, candidate=Seeker, clocks=None, **more):
-    from benchmarks.explore import FAST, SLOW, Leases, search
+def explore(depth, voter=Voter, candidate=Candidate, clocks=None, **more):
+    from benchmarks.explore import FAST_CLOCK, SLOW_CLOCK, LeaseModel, search
 
-    rates = {"s0": SLOW, "s1": FAST, "v0": FAST, "v1": FAST, "v2": FAST} if clocks is None else clocks
-    return search(Leases(voter, candidate, rates=rates, **more), depth)
+    rates = {"s0": SLOW_CLOCK, "s1": FAST_CLOCK, "v0": FAST_CLOCK, "v1": FAST_CLOCK, "v2": FAST_CLOCK} if clocks is None else clocks
+    return search(LeaseModel(voter, candidate, rates=rates, **more), depth)
 
 
 def test_exhaustive_search_finds_at_most_one_holder_and_a_holder_after_faults_end():
-    from benchmarks.explore import FAST, SLOW, Leases, search
+    from benchmarks.explore import FAST_CLOCK, SLOW_CLOCK, LeaseModel, search
 
-    model = Leases(rates={"s0": SLOW, "s1": FAST, "v0": FAST, "v1": SLOW, "v2": FAST}, odd=2, crashes=1)
+    model = LeaseModel(rates={"s0": SLOW_CLOCK, "s1": FAST_CLOCK, "v0": FAST_CLOCK, "v1": SLOW_CLOCK, "v2": FAST_CLOCK}, message_faults=2, crashes=1)
     stuck = []
 
     def each(state, number):
-        if number % 400 == 0 and not model.leads_to_a_holder(state):
+        if number % 400 == 0 and not model.eventually_held(state):
             stuck.append(state)
-    found = search(model, 6, 6_000, each=each)
+    found = search(model, 6, 6_000, on_state=each)
     assert found.trace is None and found.states >= 6_000 and not stuck
 
 
 def acquires_with(voter_set, reachable, voters, process, ballot):
     """Returns whether a candidate gets the lease that reaches only the voters in `reachable`."""
-    candidate = Seeker(TERMS, process, voter_set, 1, 0, ballot)
+    candidate = Candidate(PARAMETERS, process, voter_set, 1, 0, ballot)
     queue = candidate.tick(0)
     while queue:
         name, message = queue.pop(0)
         if name in reachable:
             reply = (voters[name].propose if isinstance(message, Propose) else voters[name].prepare)(message, 0)
-            queue += candidate.heard(name, reply, 0)
-    return candidate.held(1)
+            queue += candidate.receive(name, reply, 0)
+    return candidate.holds_lease(1)
 
 
 def test_two_voter_changes_at_once_give_two_holders_without_majorities_of_both_sets():
     for previous, second_acquires in (((), True), (("v0", "v1", "v2", "v3"), False)):
-        voters = {f"v{n}": Voter(TERMS, -10 ** 9, 0) for n in range(5)}
-        assert acquires_with(Electorate(("v0", "v1", "v2")), {"v0", "v1"}, voters, PROCESS, 1)
-        changed_set = Electorate(tuple(voters), previous, 2)
+        voters = {f"v{n}": Voter(PARAMETERS, -10 ** 9, 0) for n in range(5)}
+        assert acquires_with(VoterSet(("v0", "v1", "v2")), {"v0", "v1"}, voters, PROCESS, 1)
+        changed_set = VoterSet(tuple(voters), previous, 2)
         assert acquires_with(changed_set, {"v2", "v3", "v4"}, voters, OTHER, 2) is second_acquires
 
 
-@pytest.mark.parametrize("kind", [NoDrift, Half, Clinging, Loud, Forgetful, Early, SameNumber])
+@pytest.mark.parametrize("kind", [IgnoresDrift, HalfQuorum, ActsAfterRelease, GrantsAfterRestart, ForgetsGrant, ExpiresEarly, ReusesBallot])
 def test_explorer_finds_a_short_trace_for_a_seeded_fault(kind):
     role = {"voter" if issubclass(kind, Voter) else "candidate": kind}
-    odd, crashes = {Half: 1, Loud: 1}.get(kind, 0), int(kind is Loud)
-    found = explore(10, odd=odd, crashes=crashes, **role)
+    odd, crashes = {HalfQuorum: 1, GrantsAfterRestart: 1}.get(kind, 0), int(kind is GrantsAfterRestart)
+    found = explore(10, message_faults=odd, crashes=crashes, **role)
     assert found.trace and len(found.trace) <= 11
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,21 +9,21 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from hollystage.decisions.membership.gossip import UpdateQueue, max_encoded_size
 from hollystage.decisions.membership.members import Members
-from hollystage.decisions.membership.news import Gazette, cost
-from hollystage.decisions.membership.records import Belief, Digest, News, Record, Stage, merged
-from hollystage.decisions.membership.terms import Terms
-from hollystage.decisions.membership.words import Ack, Answer, Ping, Send
+from hollystage.decisions.membership.messages import Ack, Ping, Send, SyncResponse
+from hollystage.decisions.membership.parameters import Parameters
+from hollystage.decisions.membership.records import Belief, MemberStatus, Record, Stage, Update, merge
 from hollystage.standins.fleet.faults import Fault
-from hollystage.standins.fleet.twin import SECOND, Twin
+from hollystage.standins.fleet.fleet_simulation import SECOND, FleetSimulation
 
 
 def record(name="b", boot=5, birth=1, incarnation=0, belief=Belief.ALIVE, version=0, host=2):
-    return Record(name, "z", f"10.0.0.{host}:7000", boot, birth, incarnation, belief, Digest(version))
+    return Record(name, "z", f"10.0.0.{host}:7000", boot, birth, incarnation, belief, MemberStatus(version))
 
 
 def make_members(**parameters):
-    return Members(record("a", host=1), ["10.0.0.9:7000"], Terms(**parameters), 1, 0)
+    return Members(record("a", host=1), ["10.0.0.9:7000"], Parameters(**parameters), 1, 0)
 
 
 RECORDS = st.builds(record, boot=st.integers(1, 3), birth=st.integers(1, 2), incarnation=st.integers(0, 2),
@@ -36,42 +36,42 @@
     for order in itertools.permutations(received):
         result = order[0]
         for new in order[1:] + order:  # each record arrives a second time
-            result = merged(result, new)
-        results.add((result.weight, result.digest.version))
+            result = merge(result, new)
+        results.add((result.precedence, result.status.version))
     assert len(results) == 1
 
 
 @given(RECORDS, RECORDS)
 def test_record_of_an_older_process_never_wins(old, new):
-    assert merged(old, new).process == max(old.process, new.process)
+    assert merge(old, new).process == max(old.process, new.process)
 
 
 @given(RECORDS, st.binary(max_size=64), st.lists(st.integers(0, (1 << 62) - 1), max_size=8))
 def test_encoded_record_is_never_larger_than_its_bound(original, extra, generations):
     big = msgspec.structs.replace(original, name="n" * 64, zone="z" * 64, boot=(1 << 62) - 1,
                                   incarnation=(1 << 61) - 1,
-                                  digest=Digest((1 << 62) - 1, 4, (1 << 32) - 1, tuple(generations), 1 << 39, extra))
-    assert big.sane() and len(msgspec.msgpack.encode(big)) <= big.size()
-    assert len(msgspec.msgpack.encode(News(big, "x" * 64))) <= cost(News(big, "x" * 64))
+                                  digest=MemberStatus((1 << 62) - 1, 4, (1 << 32) - 1, tuple(generations), 1 << 39, extra))
+    assert big.is_valid() and len(msgspec.msgpack.encode(big)) <= big.max_encoded_size()
+    assert len(msgspec.msgpack.encode(Update(big, "x" * 64))) <= max_encoded_size(Update(big, "x" * 64))
 
 
 @pytest.mark.parametrize("change", [
     {"name": "a b"}, {"name": ""}, {"name": "x" * 65}, {"name": "a\nb"}, {"zone": "{}"}, {"address": "localhost:80"},
     {"address": "1.2.3.4"}, {"boot": -1}, {"boot": 1 << 63}, {"belief": 4}, {"incarnation": 1 << 62},
-    {"digest": Digest(stage=9)}, {"digest": Digest(extra=bytes(65))}, {"digest": Digest(generations=(1,) * 9)}])
+    {"digest": MemberStatus(stage=9)}, {"digest": MemberStatus(extra=bytes(65))}, {"digest": MemberStatus(generations=(1,) * 9)}])
 def test_record_out_of_bounds_is_invalid(change):
-    assert record().sane() and not msgspec.structs.replace(record(), **change).sane()
+    assert record().is_valid() and not msgspec.structs.replace(record(), **change).is_valid()
 
 
 def test_updates_are_sent_a_bounded_number_of_times_and_fit_the_datagram():
-    queue = Gazette(3)
-    updates = [News(record(f"m{n}"), "a") for n in range(50)]
+    queue = UpdateQueue(3)
+    updates = [Update(record(f"m{n}"), "a") for n in range(50)]
     for update in updates:
         queue.add(update)
     sent = {}
     while True:
         chosen = queue.take(500, 7)
-        assert sum(map(cost, chosen)) <= 500
+        assert sum(map(max_encoded_size, chosen)) <= 500
         if not chosen:
             break
         for update in chosen:
@@ -83,41 +83,41 @@
 
 def test_accused_member_refutes_with_a_higher_incarnation_in_its_ack():
     members = make_members()
-    members.heard(record("b"), Ping(1, "a"), [
-        News(record("a", incarnation=0, belief=Belief.SUSPECT, host=1), "b")], 10)
-    sends = [action for action in members.take() if isinstance(action, Send)]
-    assert members.me.incarnation == 1 and [s.word for s in sends] == [Ack(1, "a")]
-    assert any(update.record == members.me for send in sends for update in send.news)
+    members.receive(record("b"), Ping(1, "a"), [
+        Update(record("a", incarnation=0, belief=Belief.SUSPECT, host=1), "b")], 10)
+    sends = [action for action in members.take_actions() if isinstance(action, Send)]
+    assert members.me.incarnation == 1 and [s.message for s in sends] == [Ack(1, "a")]
+    assert any(update.record == members.me for send in sends for update in send.updates)
 
 
 def test_updates_about_and_from_an_older_boot_are_ignored_and_answered():
     members = make_members()
-    members.heard(record("b", boot=9), Ping(1, "a"), [], 10)
-    members.take()
-    members.heard(record("c", host=3), Ping(2, "a"), [News(record("b", boot=8, belief=Belief.LOST), "c")], 20)
+    members.receive(record("b", boot=9), Ping(1, "a"), [], 10)
+    members.take_actions()
+    members.receive(record("c", host=3), Ping(2, "a"), [Update(record("b", boot=8, belief=Belief.LOST), "c")], 20)
     assert members.records["b"].living and members.records["b"].boot == 9
-    members.take()
-    members.heard(record("b", boot=8), Ping(3, "a"), [News(record("c", host=3, belief=Belief.LOST), "b")], 30)
-    (reply,) = members.take()
-    assert reply.news[0].record.boot == 9 or any(update.record.boot == 9 for update in reply.news)
+    members.take_actions()
+    members.receive(record("b", boot=8), Ping(3, "a"), [Update(record("c", host=3, belief=Belief.LOST), "b")], 30)
+    (reply,) = members.take_actions()
+    assert reply.updates[0].record.boot == 9 or any(update.record.boot == 9 for update in reply.updates)
     assert members.records["c"].living  # its own accusations are ignored too
 
 
 def test_boot_is_raised_above_a_remembered_one_unless_a_duplicate_answers():
     members = make_members()
-    members.heard(record("b"), Ping(1, "a"), [News(record("a", boot=70, belief=Belief.LOST, host=1), "b")], 10)
+    members.receive(record("b"), Ping(1, "a"), [Update(record("a", boot=70, belief=Belief.LOST, host=1), "b")], 10)
     assert members.me.boot == 71 and members.me.incarnation == 0
     other = record("a", boot=90, birth=7, host=8)
-    members.heard(record("b"), Ping(2, "a"), [News(other, "b")], 20)
+    members.receive(record("b"), Ping(2, "a"), [Update(other, "b")], 20)
     assert members.me.boot == 71  # the other process may be alive: it is pinged first
-    assert any(isinstance(s, Send) and s.address == other.address for s in members.take())
-    members.heard(other, Ack(9, "a"), [], 30)
-    assert members.ousted and [e.what for e in members.happened()][-1] == "ousted"
+    assert any(isinstance(s, Send) and s.address == other.address for s in members.take_actions())
+    members.receive(other, Ack(9, "a"), [], 30)
+    assert members.ousted and [e.kind for e in members.take_events()][-1] == "ousted"
     members.tick(5 * SECOND)
-    assert not members.take()  # it sends nothing any more
+    assert not members.take_actions()  # it sends nothing any more
     # without an answer the boot number is raised
     members = make_members()
-    members.heard(record("b"), Ping(2, "a"), [News(other, "b")], 20)
+    members.receive(record("b"), Ping(2, "a"), [Update(other, "b")], 20)
     for now in range(100_000, 3 * SECOND, 50_000):
         members.tick(now)
     assert members.me.boot == 91 and not members.ousted
@@ -125,18 +125,18 @@
 
 def test_later_duplicate_keeps_the_name_and_records_an_event():
     members = make_members()
-    members.heard(record("a", boot=4, birth=9, host=8), Ping(1, "a"), [], 10)
-    assert not members.ousted and [e.what for e in members.happened()] == ["twin"]
-    assert any(isinstance(s, Send) and s.address == "10.0.0.8:7000" for s in members.take())
+    members.receive(record("a", boot=4, birth=9, host=8), Ping(1, "a"), [], 10)
+    assert not members.ousted and [e.kind for e in members.take_events()] == ["twin"]
+    assert any(isinstance(s, Send) and s.address == "10.0.0.8:7000" for s in members.take_actions())
 
 
 def test_view_and_tombstones_are_bounded():
     members = make_members(most=20, tombstone=SECOND)
-    members.answered(Answer([], [record(f"m{n}", host=n) for n in range(3, 99)]), 10)
+    members.handle_sync_response(SyncResponse([], [record(f"m{n}", host=n) for n in range(3, 99)]), 10)
     assert len(members.records) == 20 and members.counts["full"] == 76
     for name in list(members.records):
         gone = msgspec.structs.replace(members.records[name], belief=Belief.LEFT)
-        members.heard(record("b"), Ping(1, "a"), [News(gone, "b")], 20)
+        members.receive(record("b"), Ping(1, "a"), [Update(gone, "b")], 20)
     assert len(members.gone) == 20 and not members.living
     for now in range(50_000, 3 * SECOND, 50_000):
         members.tick(now)
@@ -152,62 +152,62 @@
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 def test_three_killed_of_twelve_are_detected_and_no_other(seed, loss):
-    twin = Twin(12, seed)
-    assert twin.until_agreed(20) is not None
+    twin = FleetSimulation(12, seed)
+    assert twin.run_until_agreed(20) is not None
     names = list(twin.nodes)
     if loss:
         twin.apply(Fault(0, "lose", names, amount=loss))
         twin.run(5)
     twin.apply(Fault(0, "kill", names[4:7]))
-    assert twin.until_agreed(25) is not None
+    assert twin.run_until_agreed(25) is not None
     if not loss:
-        assert not twin.wrong
+        assert not twin.false_accusations
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_partition_heals(seed):
-    twin = Twin(12, seed)
+    twin = FleetSimulation(12, seed)
     names = list(twin.nodes)
-    assert twin.until_agreed(20) is not None
+    assert twin.run_until_agreed(20) is not None
     twin.apply(Fault(0, "cut", names[:6], names[6:], both=True))
     twin.run(16)
     assert all(len(node.members.living) == 5 for node in twin.nodes.values())
     twin.apply(Fault(0, "heal", names[:6], names[6:], both=True))
-    assert twin.until_agreed(20) is not None
+    assert twin.run_until_agreed(20) is not None
 
 
 def test_mass_restart_and_start_while_configured_peers_are_down():
-    twin = Twin(12, 3)
+    twin = FleetSimulation(12, 3)
     names = list(twin.nodes)
-    assert twin.until_agreed(20) is not None
+    assert twin.run_until_agreed(20) is not None
     twin.apply(Fault(0, "kill", names[:9]))
     twin.run(1)
     twin.apply(Fault(0, "start", names[:9]))
-    assert twin.until_agreed(20) is not None
+    assert twin.run_until_agreed(20) is not None
     twin.apply(Fault(0, "kill", names))
     twin.apply(Fault(0, "start", names[3:]))  # the first three are the configured peers
     twin.run(20)
     assert not any(node.members.living for node in twin.nodes.values() if node.up)
     assert events_of(twin, "alone")
     twin.apply(Fault(0, "start", names[:1]))
-    assert twin.until_agreed(30) is not None
+    assert twin.run_until_agreed(30) is not None
 
 
 def test_suspended_member_suspects_nobody_and_recovers():
-    twin = Twin(12, 5)
-    assert twin.until_agreed(20) is not None
+    twin = FleetSimulation(12, 5)
+    assert twin.run_until_agreed(20) is not None
     twin.apply(Fault(0, "pause", ["m4"], amount=3.0))
     twin.run(3.0)
     suspended = twin.nodes["m4"].members
     assert suspended.counts["event_slept"] == 1 and not suspended.view(twin.clock.now).fresh
     twin.run(10)
     assert not [e for e in twin.events if e[1] == "m4" and e[2] in ("suspect", "lost")]
-    assert suspended.view(twin.clock.now).fresh and twin.agree()
+    assert suspended.view(twin.clock.now).fresh and twin.views_agree()
 
 
 def test_history_depends_only_on_the_seed():
-    code = ("from hollystage.standins.fleet.twin import Twin\nfrom hollystage.standins.fleet.faults import Fault\n"
-            "t = Twin(30, 7)\nt.run(5)\nt.apply(Fault(0, 'kill', ['m3', 'm20']))\n"
+    code = ("from hollystage.standins.fleet.fleet_simulation import FleetSimulation\nfrom hollystage.standins.fleet.faults import Fault\n"
+            "t = FleetSimulation(30, 7)\nt.run(5)\nt.apply(Fault(0, 'kill', ['m3', 'm20']))\n"
             "t.apply(Fault(0, 'lose', list(t.nodes), amount=0.2))\nt.run(10)\nprint(t.trace.hexdigest(), t.messages)")
     outputs = {subprocess.run([sys.executable, "-c", code], env=os.environ | {"PYTHONHASHSEED": seed}, check=True,
                               capture_output=True, text=True).stdout for seed in ("0", "1", "77")}
@@ -217,16 +217,16 @@
 def test_message_rate_per_member_does_not_grow_with_the_fleet():
     rates = []
     for count in (10, 100):
-        twin = Twin(count, 1, known=True)
+        twin = FleetSimulation(count, 1, converged=True)
         twin.run(10)
         rates.append((twin.messages / count / 10, twin.bytes / count / 10))
     assert rates[0][0] < 5 and abs(rates[1][0] - rates[0][0]) < 0.5 and rates[1][1] < 1.3 * rates[0][1]
 
 
 def test_leaving_member_is_not_declared_lost():
-    twin = Twin(8, 2)
-    assert twin.until_agreed(20) is not None
+    twin = FleetSimulation(8, 2)
+    assert twin.run_until_agreed(20) is not None
     twin.apply(Fault(0, "term", ["m5"]))
-    assert twin.until_agreed(10) is not None and not events_of(twin, "lost") and len(events_of(twin, "left")) == 7
-    assert all(node.members.records["m5"].digest.stage == Stage.LEFT
+    assert twin.run_until_agreed(10) is not None and not events_of(twin, "lost") and len(events_of(twin, "left")) == 7
+    assert all(node.members.records["m5"].status.stage == Stage.LEFT
                for node in twin.nodes.values() if node.name != "m5")
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from hollystage.service.buffers import SIZE, Broken, Pool, Stream
-from hollystage.service.http import Bad, read_request, read_response, write_response
+from hollystage.service.buffers import BUFFER_BYTES, BufferPool, IncompleteMessageError, Stream
+from hollystage.service.http import HttpError, encode_response, read_request, read_response
 
 GOOD = (b"POST /svc/lookup?a=b HTTP/1.1\r\nHost: service.internal\r\nX-Caller:  4 \r\n"
         b"Content-Length: 5\r\n\r\na\0\r\nb")
@@ -15,7 +15,7 @@
 def parse(data, read, chunk_size=0, timeout=1.0):
     """Returns the result of `read` on bytes that arrive in chunks of this size (0: all at once) and then end."""
     receiver, sender = socket.socketpair()
-    stream = Stream(receiver, bytearray(SIZE))
+    stream = Stream(receiver, bytearray(BUFFER_BYTES))
 
     def send():
         for start in range(0, len(data), chunk_size or len(data) or 1):
@@ -35,21 +35,21 @@
 @pytest.mark.parametrize("chunk_size", [0, 1, 7, 64])
 def test_request_is_parsed_the_same_for_any_chunk_size(chunk_size):
     request = parse(GOOD, read_request, chunk_size)
-    assert (request.verb, request.path, request.query, request.body, request.keep) == (
+    assert (request.verb, request.path, request.query, request.body, request.keep_alive) == (
         "POST", "/svc/lookup", "a=b", b"a\0\r\nb", True)
     assert request.fields["x-caller"] == "4"
 
 
 def test_pipelined_requests_are_parsed_one_by_one():
     def read_both(stream, deadline):
-        return read_request(stream, deadline), read_request(stream, deadline), stream.empty()
+        return read_request(stream, deadline), read_request(stream, deadline), stream.is_empty()
     first, second, empty = parse(GOOD + GOOD.replace(b"a\0\r\nb", b"other"), read_both)
     assert (first.body, second.body, empty) == (b"a\0\r\nb", b"other", True)
 
 
 @pytest.mark.parametrize("size", [1, 30, 60, len(GOOD) - 1])
 def test_incomplete_request_raises(size):
-    with pytest.raises(Broken):
+    with pytest.raises(IncompleteMessageError):
         parse(GOOD[:size], read_request)
 
 
@@ -86,7 +86,7 @@
     (b"\r\n" * 9000, 400),
 ])
 def test_malformed_request_is_rejected_with_the_right_status(data, status):
-    with pytest.raises(Bad) as error:
+    with pytest.raises(HttpError) as error:
         parse(data, read_request)
     assert error.value.status == status
 
@@ -97,32 +97,32 @@
 ])
 def test_connection_header_decides_keep_alive(lines, minor, keep):
     data = head(*lines, first=b"GET /status/live HTTP/1." + minor)
-    assert parse(data, read_request).keep == keep
+    assert parse(data, read_request).keep_alive == keep
 
 
 def test_slow_sender_times_out():
     receiver, sender = socket.socketpair()
     sender.sendall(GOOD[:20])
     with pytest.raises(TimeoutError):
-        read_request(Stream(receiver, bytearray(SIZE)), time.monotonic() + 0.02)
+        read_request(Stream(receiver, bytearray(BUFFER_BYTES)), time.monotonic() + 0.02)
 
 
 @pytest.mark.parametrize("data, expected", [
     (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n\r\n", (200, b"\r\n", True)),
     (b"HTTP/1.1 204 No Content\r\n\r\n", (204, b"", True)),
     (b"HTTP/1.1 503 Busy\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", (503, b"", False)),
-    (write_response(500, {"A": "b"}, b"\0" * 4096, False), (500, b"\0" * 4096, False)),
+    (encode_response(500, {"A": "b"}, b"\0" * 4096, False), (500, b"\0" * 4096, False)),
 ])
 def test_response_is_parsed(data, expected):
     for chunk_size in (0, 1):
         response = parse(data, read_response, chunk_size)
-        assert (response.status, response.body, response.keep) == expected
+        assert (response.status, response.body, response.keep_alive) == expected
 
 
 @pytest.mark.parametrize("data, exception", [
-    (b"HTTP/1.1 2x0 OK\r\n\r\n", Bad), (b"nonsense\r\n\r\n", Bad), (b"HTTP/1.1 200 OK\r\n\r\n", Bad),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n", Bad), (b"x" * 40_000, Bad),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", Broken), (b"HTTP/1.1 200", Broken), (b"", Broken),
+    (b"HTTP/1.1 2x0 OK\r\n\r\n", HttpError), (b"nonsense\r\n\r\n", HttpError), (b"HTTP/1.1 200 OK\r\n\r\n", HttpError),
+    (b"HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n", HttpError), (b"x" * 40_000, HttpError),
+    (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", IncompleteMessageError), (b"HTTP/1.1 200", IncompleteMessageError), (b"", IncompleteMessageError),
 ])
 def test_malformed_or_incomplete_response_raises(data, exception):
     with pytest.raises(exception):
@@ -130,8 +130,8 @@
 
 
 def test_pool_reuses_buffers():
-    pool = Pool()
-    first = pool.take()
-    second = pool.take()
-    pool.give_back(first)
-    assert second is not first and pool.take() is first and len(first) == SIZE
+    pool = BufferPool()
+    first = pool.acquire()
+    second = pool.acquire()
+    pool.release(first)
+    assert second is not first and pool.acquire() is first and len(first) == BUFFER_BYTES
--- a/tests/test_notice.py
+++ b/tests/test_notice.py
@@ -8,37 +8,37 @@
 import time
 
 import pytest
-from helpers import Interpreter, World, until
+from helpers import Interpreter, ServiceHarness, wait_until
 
-from hollystage.decisions.leaving.notice import BEAT, Notice
-from hollystage.service.buffers import Broken
+from hollystage.decisions.leaving.drain_notice import HEARTBEAT_INTERVAL, DrainNotice
+from hollystage.service.buffers import IncompleteMessageError
 
-GRACE_S = 0.3  # equal to the setting of World
+GRACE_S = 0.3  # equal to the setting of BudgetSimulation
 
 
 @pytest.mark.parametrize("grace", [2_000_000, 300_000, 0])
 def test_only_a_suspension_puts_rpcs_in_doubt_and_not_a_late_heartbeat(grace):
-    notice = Notice(grace, 0)
-    for now in range(0, 10 * BEAT, BEAT):
-        notice.beat(now)
-        assert not notice.in_doubt(now + BEAT) and notice.given(now + BEAT) == now + BEAT
-    resumed = now + max(grace, 4 * BEAT) + BEAT
-    notice.beat(resumed)  # the notice may have come just after the last heartbeat, or before its thread ran
-    assert notice.given(resumed) == now - BEAT and notice.in_doubt(resumed)
-    notice.beat(resumed + BEAT)
-    assert notice.given(resumed + 3 * BEAT) == resumed and not notice.in_doubt(resumed + 3 * BEAT)
-    assert notice.given(resumed - 5) == resumed - 5  # the clock was set back
-    notice.beat(resumed + 10_000_000)
-    assert notice.given(resumed + 10_000_000) == resumed
-    notice.silent(resumed + 10_000_000)  # a check proves more than heartbeats
+    notice = DrainNotice(grace, 0)
+    for now in range(0, 10 * HEARTBEAT_INTERVAL, HEARTBEAT_INTERVAL):
+        notice.heartbeat(now)
+        assert not notice.in_doubt(now + HEARTBEAT_INTERVAL) and notice.given_at(now + HEARTBEAT_INTERVAL) == now + HEARTBEAT_INTERVAL
+    resumed = now + max(grace, 4 * HEARTBEAT_INTERVAL) + HEARTBEAT_INTERVAL
+    notice.heartbeat(resumed)  # the notice may have come just after the last heartbeat, or before its thread ran
+    assert notice.given_at(resumed) == now - HEARTBEAT_INTERVAL and notice.in_doubt(resumed)
+    notice.heartbeat(resumed + HEARTBEAT_INTERVAL)
+    assert notice.given_at(resumed + 3 * HEARTBEAT_INTERVAL) == resumed and not notice.in_doubt(resumed + 3 * HEARTBEAT_INTERVAL)
+    assert notice.given_at(resumed - 5) == resumed - 5  # the clock was set back
+    notice.heartbeat(resumed + 10_000_000)
+    assert notice.given_at(resumed + 10_000_000) == resumed
+    notice.confirm_no_notice(resumed + 10_000_000)  # a check proves more than heartbeats
     assert not notice.in_doubt(resumed + 10_000_001)
 
 
 @pytest.fixture
 def world(tmp_path):
-    world = World(Interpreter(auto=False), stop_ms=2500)
+    world = ServiceHarness(Interpreter(auto=False), stop_ms=2500)
     world.path = tmp_path / "config.json"
-    world.path.write_text(json.dumps(world.given))
+    world.path.write_text(json.dumps(world.json_config))
     yield world
     for peer in (world.interpreter, world.ledger, world.control):
         peer.close()
@@ -47,8 +47,8 @@
 @pytest.fixture
 def process(world):
     started = start_process(world)
-    until(lambda: world.control.heard)
-    until(lambda: world.interpreter.got("TOP"))
+    wait_until(lambda: world.control.received)
+    wait_until(lambda: world.interpreter.commands("TOP"))
     yield started
     started.kill()
     started.wait()
@@ -66,7 +66,7 @@
 
 def pause(process):
     process.send_signal(signal.SIGSTOP)
-    until(lambda: is_stopped(process.pid))
+    wait_until(lambda: is_stopped(process.pid))
 
 
 @pytest.mark.parametrize("connections", ["new", "kept", "several", "many"])
@@ -74,8 +74,8 @@
     kept = [world.caller() for _ in range({"new": 0, "kept": 1, "several": 1, "many": 30}[connections])]
     for number, caller in enumerate(kept, 1):  # each connection has served an RPC and is idle
         caller.send("order")
-        world.interpreter.end(world.interpreter.applied(number)[-1])
-        assert caller.answer().keep
+        world.interpreter.end(world.interpreter.await_runs(number)[-1])
+        assert caller.receive().keep_alive
     pause(process)
     time.sleep(0.2)
     process.send_signal(signal.SIGTERM)
@@ -87,40 +87,40 @@
             caller.send("order")
     time.sleep(0.2)  # the kernel delays small messages until the first one is acknowledged
     process.send_signal(signal.SIGCONT)
-    statuses = [caller.answer().status for caller in callers for _ in range(rpcs)]
-    assert set(statuses) == {503} and len(world.interpreter.got("APPLY")) == len(kept)
+    statuses = [caller.receive().status for caller in callers for _ in range(rpcs)]
+    assert set(statuses) == {503} and len(world.interpreter.commands("APPLY")) == len(kept)
     assert process.wait(4) == 0
 
 
 def test_rpcs_that_run_before_a_pause_are_answered_and_a_pause_without_notice_rejects_nothing(world, process):
     running = world.caller().send("order")
-    (ident,) = world.interpreter.applied()
+    (ident,) = world.interpreter.await_runs()
     pause(process)
     time.sleep(GRACE_S + 0.3)
     within = world.caller().send("order")
     process.send_signal(signal.SIGCONT)  # no notice was given, so the RPC runs
-    second = until(lambda: set(world.interpreter.applied(2)) - {ident}).pop()
+    second = wait_until(lambda: set(world.interpreter.await_runs(2)) - {ident}).pop()
     pause(process)
     process.send_signal(signal.SIGTERM)
     time.sleep(0.5)
     process.send_signal(signal.SIGCONT)
     world.interpreter.end(ident, b"one")
     world.interpreter.end(second, b"two")
-    assert [running.answer().body, within.answer().body] == [b"one", b"two"] and process.wait(4) == 0
+    assert [running.receive().body, within.receive().body] == [b"one", b"two"] and process.wait(4) == 0
     assert "instance.unheard" not in process.stderr.read().decode()
 
 
 def test_a_process_that_resumes_after_its_stop_time_answers_everything_immediately(world, process):
     running = world.caller().send("order")
-    world.interpreter.applied()
+    world.interpreter.await_runs()
     pause(process)
     process.send_signal(signal.SIGTERM)
     time.sleep(2.7)
     late = world.caller().send("order")
     resumed = time.monotonic()
     process.send_signal(signal.SIGCONT)
-    assert [running.answer().status, late.answer().status] == [500, 503]
-    assert process.wait(4) == 0 and time.monotonic() - resumed < 1.5 and len(world.interpreter.applied()) == 1
+    assert [running.receive().status, late.receive().status] == [500, 503]
+    assert process.wait(4) == 0 and time.monotonic() - resumed < 1.5 and len(world.interpreter.await_runs()) == 1
 
 
 def test_a_notice_is_handled_during_a_reload(world, process):
@@ -130,17 +130,17 @@
     process.send_signal(signal.SIGHUP)
     time.sleep(0.2)
     process.send_signal(signal.SIGTERM)
-    assert idle.closed()
+    assert idle.wait_closed()
     time.sleep(0.1)
     with pytest.raises((ConnectionRefusedError, ConnectionResetError, TimeoutError)):
         socket.create_connection(world.listen, 0.5)
-    assert process.wait(4) == 0 and not world.interpreter.got("APPLY")
+    assert process.wait(4) == 0 and not world.interpreter.commands("APPLY")
 
 
 def test_the_grace_of_a_notice_right_after_a_start_begins_at_the_start(world):
     started = start_process(world)
     blocked = signal.SIGTERM - 1
-    until(lambda: int(next(line for line in open(f"/proc/{started.pid}/status") if line.startswith("SigBlk"))
+    wait_until(lambda: int(next(line for line in open(f"/proc/{started.pid}/status") if line.startswith("SigBlk"))
                       .split()[1], 16) >> blocked & 1)
     pause(started)
     started.send_signal(signal.SIGTERM)
@@ -149,8 +149,8 @@
     while started.poll() is None:
         try:
             caller = world.caller().send("order")
-            assert caller.answer().status == 503
-        except (OSError, Broken):
+            assert caller.receive().status == 503
+        except (OSError, IncompleteMessageError):
             continue  # not started yet, or already ended
-    assert started.wait() == 0 and not world.interpreter.got("APPLY")
+    assert started.wait() == 0 and not world.interpreter.commands("APPLY")
     started.stderr.close()
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -10,18 +10,18 @@
 
 import msgspec
 import pytest
-from helpers import SETTINGS, Answering, Caller, Interpreter, reply, until
+from helpers import SETTINGS, Caller, Interpreter, ScriptedHttpServer, reply, wait_until
 from typer.testing import CliRunner
 
 from hollystage.cli import app
-from hollystage.language.sources import Memory
+from hollystage.language.sources import MemoryFolder
 from hollystage.plan.compare import compare
-from hollystage.plan.compiled import Damaged, dump, parse, read_key
+from hollystage.plan.compiled import UnusableFileError, dump, parse, read_key
 from hollystage.plan.read import read, read_file
 from hollystage.plan.sections import SECTIONS, Instance, Section, register
-from hollystage.service.config import budgeting, load
+from hollystage.service.config import budget_config, load
 from hollystage.service.config import parse as parse_config
-from hollystage.settings import Deployment, Faulty
+from hollystage.settings import ConfigError, Deployment
 from hollystage.standins.server import free_address
 
 EXAMPLES = pathlib.Path(__file__).parent.parent / "examples"
@@ -39,7 +39,7 @@
 
 
 def plan_of(text, **files):
-    result = read(Memory({"a.star": text.encode()} | {name: body.encode() for name, body in files.items()}), "a.star")
+    result = read(MemoryFolder({"a.star": text.encode()} | {name: body.encode() for name, body in files.items()}), "a.star")
     assert not result.errors, [str(error) for error in result.errors]
     return result.plan
 
@@ -71,7 +71,7 @@
               "ledger": "127.0.0.1:4", "settings": SETTINGS}
     valid = plan_of('pool("p", methods = ["lookup"], guaranteed = 30%)\n')
     assert parse_config(json.dumps(config).encode(), valid).plan is valid
-    with pytest.raises(Faulty, match="a.star:1:1: pool names the method 'lokup', which the settings lack"):
+    with pytest.raises(ConfigError, match="a.star:1:1: pool names the method 'lokup', which the settings lack"):
         parse_config(json.dumps(config).encode(), plan_of('pool("p", methods = ["lokup"], guaranteed = 30%)\n'))
 
 
@@ -79,7 +79,7 @@
     ("[1]", "configuration: Expected `object`"), ("{", "configuration is not JSON"),
     ('{"name": 3}', r"\$.name"), ("{}", "missing required field `name`")])
 def test_errors_in_the_json_are_reported_with_a_plan_too(text, message):
-    with pytest.raises(Faulty, match=message):
+    with pytest.raises(ConfigError, match=message):
         parse_config(text.encode(), plan_of("fleet(instances = 3)\n"))
 
 
@@ -96,9 +96,9 @@
         data = dump(plan_of(PLAN), "1", key)
         for index in range(len(data)):
             for change in (1, 128):
-                with pytest.raises(Damaged):
+                with pytest.raises(UnusableFileError):
                     parse(data[:index] + bytes([data[index] ^ change]) + data[index + 1:], key)
-            with pytest.raises(Damaged):
+            with pytest.raises(UnusableFileError):
                 parse(data[:index], key)
 
 
@@ -108,7 +108,7 @@
     (dump(plan_of(PLAN), "1"), KEY, "without a keyed digest"),
     (dump(plan_of(PLAN), "1").replace(b"plan 2 ", b"plan 3 "), None, "format 3, this version reads format 2")])
 def test_errors_of_digest_and_format_are_distinguished(data, key, message):
-    with pytest.raises(Damaged, match=message):
+    with pytest.raises(UnusableFileError, match=message):
         parse(data, key)
 
 
@@ -120,10 +120,10 @@
     register(Later)
     try:
         data = dump(plan_of("later(mark = \"y\")\n"), "9")
-        assert parse(data).one(Later).mark == "y"  # a new section needs a class, and no change of the language
+        assert parse(data).first_of(Later).mark == "y"  # a new section needs a class, and no change of the language
     finally:
         del SECTIONS["later"]
-    with pytest.raises(Damaged, match="the section 'later' is not known"):
+    with pytest.raises(UnusableFileError, match="the section 'later' is not known"):
         parse(data)
     with pytest.raises(ValueError, match="is already registered"):
         register(type("Other", (Instance,), {"word": "instance", "__annotations__": {}}))
@@ -133,14 +133,14 @@
     path = tmp_path / "key"
     path.write_bytes(KEY)
     path.chmod(0o644)
-    with pytest.raises(Damaged, match="set its mode to 600"):
+    with pytest.raises(UnusableFileError, match="set its mode to 600"):
         read_key(str(path))
     path.chmod(0o600)
     assert len(read_key(str(path))) == 32
     path.write_bytes(b"short")
-    with pytest.raises(Damaged, match="shorter than 32"):
+    with pytest.raises(UnusableFileError, match="shorter than 32"):
         read_key(str(path))
-    with pytest.raises(Damaged, match="cannot be read"):
+    with pytest.raises(UnusableFileError, match="cannot be read"):
         read_key(str(tmp_path / "none"))
 
 
@@ -171,7 +171,7 @@
     routes = 'pool("p", guaranteed = 9%)\nroute(object = "a", pool = "p")\nroute(object = "b", pool = "p")\n'
     swapped = 'pool("p", guaranteed = 9%)\nroute(object = "b", pool = "p")\nroute(object = "a", pool = "p")\n'
     (change,) = compare(plan_of(routes), plan_of(swapped))
-    assert (change.section, change.key, change.live) == ("route", "order", True)
+    assert (change.section, change.key, change.reloadable) == ("route", "order", True)
 
 
 # On the command line
@@ -240,15 +240,15 @@
     path = tmp_path / "a.star"
     if text is not None:
         path.write_text(text)
-    with pytest.raises(Faulty, match=message):
+    with pytest.raises(ConfigError, match=message):
         load("", str(path))
 
 
 # SIGHUP under load
 
 def test_a_hundred_sighups_with_valid_and_invalid_plans_lose_no_rpc(tmp_path):
-    interpreter, ledger, control = Interpreter(), Answering(reply(200, b"posted")), Answering(reply(204))
-    other, listen = Answering(reply(200, b"posted")), free_address()
+    interpreter, ledger, control = Interpreter(), ScriptedHttpServer(reply(200, b"posted")), ScriptedHttpServer(reply(204))
+    other, listen = ScriptedHttpServer(reply(200, b"posted")), free_address()
     path, shared = tmp_path / "a.star", tmp_path / "shared.star"
     text = 'load("shared.star", "LEDGER")\n' + PLAN.replace('"127.0.0.1:7700"', "LEDGER")
     for old, stand_in in (("8080", listen), ("9300", interpreter.address), ("8500", control.address)):
@@ -264,10 +264,10 @@
     def ask():
         caller = Caller(listen)
         while not stopped.is_set():
-            answers.append(caller.ask().status)
+            answers.append(caller.request().status)
 
     try:
-        until(lambda: any("interpreter is up" in line for line in lines))
+        wait_until(lambda: any("interpreter is up" in line for line in lines))
         clients = [threading.Thread(target=ask, daemon=True) for _ in range(4)]
         for client in clients:
             client.start()
@@ -295,7 +295,7 @@
             server.close()
 
 
-# Budgets of the whole fleet
+# BudgetModel of the whole fleet
 
 BUDGET_PLAN = PLAN + """fleet(instances = 8, bind = "127.0.0.1:7400", key = "k")
 leases(voters = ["n1", "n2", "n3"], length = 3s)
@@ -304,11 +304,11 @@
 
 
 def test_defaults_of_budgets_come_from_fleet_and_methods():
-    config = budgeting(parse_config(b"", plan_of(BUDGET_PLAN)))
+    config = budget_config(parse_config(b"", plan_of(BUDGET_PLAN)))
     (budget,) = config.budgets
-    assert (budget.most, budget.use, budget.floor, budget.kept, config.calls) == (8, 4_000_000, 1, 0.05, "calls")
+    assert (budget.most, budget.use, budget.floor, budget.kept, config.call_budget) == (8, 4_000_000, 1, 0.05, "calls")
     assert (config.leases.voters, config.leases.length, config.leases.drift) == (["n1", "n2", "n3"], 3_000_000, 0.01)
-    assert budgeting(parse_config(b"", plan_of(PLAN))) is None
+    assert budget_config(parse_config(b"", plan_of(PLAN))) is None
 
 
 @pytest.mark.parametrize("old, new, message", [
@@ -321,6 +321,6 @@
     ('"n3"], length', '"n3"], before = ["n1", "n2"], length', "generation"),
     ("length = 3s", "length = 3s, drift = 30%", "drift")])
 def test_rejects_inconsistent_budgets_and_leases(old, new, message):
-    result = read(Memory({"a.star": BUDGET_PLAN.replace(old, new).encode()}), "a.star")
+    result = read(MemoryFolder({"a.star": BUDGET_PLAN.replace(old, new).encode()}), "a.star")
     assert any(message in str(error) for error in result.errors), [str(error) for error in result.errors]
-    assert not read(Memory({"a.star": BUDGET_PLAN.encode()}), "a.star").errors
+    assert not read(MemoryFolder({"a.star": BUDGET_PLAN.encode()}), "a.star").errors
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -1,19 +1,29 @@
 """Pools, the reserve, retry budgets and limits: alone, in the decision module, in simulations and in a service."""
 import pytest
-from helpers import SECOND, Answering, Box, Interpreter, World, booking, lookup, reply, until
+from helpers import (
+    SECOND,
+    ControlHarness,
+    Interpreter,
+    ScriptedHttpServer,
+    ServiceHarness,
+    booking,
+    lookup,
+    reply,
+    wait_until,
+)
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hollystage.decisions.calls.further import Budget
-from hollystage.decisions.calls.limits import POLICIES, Ended, limit_of
-from hollystage.decisions.calls.pools import NOWHERE, Cheapest, Places
-from hollystage.decisions.stalls import Stalls
-from hollystage.interface import Below, Do, Outcome, Pool, Pooling, Reserve
-from hollystage.language.sources import Memory
+from hollystage.decisions.calls.limits import POLICIES, CallResult, make_limit
+from hollystage.decisions.calls.pools import NO_POOL, CheapestMethods, SlotAllocator
+from hollystage.decisions.calls.retry_budget import RetryBudget
+from hollystage.decisions.stall_detector import StallDetector
+from hollystage.interface import ActionKind, CallLimitConfig, Outcome, Pool, PoolConfig, Reserve
+from hollystage.language.sources import MemoryFolder
 from hollystage.plan.read import read
-from hollystage.standins.scenes import Scene, usual
-from hollystage.standins.virtual import Demand
-from hollystage.standins.virtual import lookup as plain
+from hollystage.standins.scenes import SceneSimulation, default_demands
+from hollystage.standins.simulated_instance import Demand
+from hollystage.standins.simulated_instance import idempotent_method as plain
 
 OK = Outcome.OK
 TWO = (Pool("a", 0.5), Pool("b", 0.5))
@@ -32,30 +42,30 @@
     (TWO, 4, (0, 0), (9, 7), 1),
     (TWO, 4, (2, 1), (1, 9), 1),  # a pool below its guarantee precedes a borrower, whatever the tags
     (TWO, 4, (2, 1), (1, None), 0),  # no pool below its guarantee has queued RPCs: borrowed
-    (TWO, 4, (3, 1), (1, 1), NOWHERE),  # no slot is free
-    (TWO, 4, (4, 0), (1, 1), NOWHERE),  # running RPCs are not stopped for a guarantee either
-    ((Pool("a", 0.5, 0.5), Pool("b", 0.5)), 4, (2, 0), (1, None), NOWHERE),  # at its ceiling
+    (TWO, 4, (3, 1), (1, 1), NO_POOL),  # no slot is free
+    (TWO, 4, (4, 0), (1, 1), NO_POOL),  # running RPCs are not stopped for a guarantee either
+    ((Pool("a", 0.5, 0.5), Pool("b", 0.5)), 4, (2, 0), (1, None), NO_POOL),  # at its ceiling
     ((Pool("a", 0.25, 0.75), Pool("b", 0.5)), 4, (2, 0), (1, None), 0),
-    ((Pool("a", 0.5), Pool("b", 0.5, lends=False)), 4, (2, 0), (1, None), NOWHERE),  # b's slots stay free
-    ((Pool("a", 0.5), Pool("b", 0.5, lends=False)), 4, (2, 1), (1, None), NOWHERE),
+    ((Pool("a", 0.5), Pool("b", 0.5, lends=False)), 4, (2, 0), (1, None), NO_POOL),  # b's slots stay free
+    ((Pool("a", 0.5), Pool("b", 0.5, lends=False)), 4, (2, 1), (1, None), NO_POOL),
     ((Pool("a", 0.5), Pool("b", 0.25, lends=False)), 4, (2, 0), (1, None), 0),
     (TWO, 1, (0, 0), (5, 3), 1),
-    (TWO, 4, (0, 0), (None, None), NOWHERE),
+    (TWO, 4, (0, 0), (None, None), NO_POOL),
 ])
 def test_chooses_the_pool_that_starts_next(pools, limit, in_use, head_tags, chosen):
-    allocator = fill(Places(pools, 0.0, 0), in_use)
+    allocator = fill(SlotAllocator(pools, 0.0, 0), in_use)
     assert allocator.choose(limit, [*head_tags, None], sum(in_use), 5_000_000) == chosen
 
 
 def simulate_runs(pools, limit, seconds, is_waiting=None, reserve=0.0, cheap=()):
     """Simulates consecutive runs of 10 ms on `limit` slots. Returns the mean number of slots that each pool used."""
-    allocator, now, slot_time, ends = Places(pools, reserve, 0), 0, [0] * (len(pools) + 1), []
+    allocator, now, slot_time, ends = SlotAllocator(pools, reserve, 0), 0, [0] * (len(pools) + 1), []
     while now < seconds * SECOND:
         ends = sorted(ends)
         while True:
             head_tags = [now if is_waiting is None or is_waiting(pool, now) else None for pool in range(len(pools))]
             chosen = allocator.choose(limit, [*head_tags, now if cheap else None], len(ends), now)
-            if chosen == NOWHERE:
+            if chosen == NO_POOL:
                 break
             on_reserve = chosen == len(pools)
             allocator.add(cheap[0] if on_reserve else chosen, 1, now, on_reserve)
@@ -110,56 +120,56 @@
 def test_slots_are_never_overdrawn_and_a_free_slot_is_never_refused(shares, limit, steps):
     total = sum(shares)
     pools = [Pool(str(number), share / total) for number, share in enumerate(shares)]
-    allocator, now, expected = Places(pools, 0.0, 0), 0, [0] * len(pools)
+    allocator, now, expected = SlotAllocator(pools, 0.0, 0), 0, [0] * len(pools)
     for start, pool, span in steps:
         now, pool = now + span, pool % len(pools)
         if start:
             head_tags = [now if number == pool else None for number in range(len(pools))]
             chosen = allocator.choose(limit, [*head_tags, None], sum(expected), now)
             assert (chosen == pool) is (sum(expected) + 1 <= limit)  # the only busy pool may borrow all slots
-            if chosen != NOWHERE:
+            if chosen != NO_POOL:
                 allocator.add(chosen, 1, now)
                 expected[chosen] += 1
         elif expected[pool]:
             allocator.add(pool, -1, now)
             expected[pool] -= 1
-        assert [use.held for use in allocator.uses] == expected and sum(expected) <= limit
+        assert [use.in_use for use in allocator.usage] == expected and sum(expected) <= limit
 
 
-# Cheapest methods, retry budgets
+# CheapestMethods methods, retry budgets
 
 def test_the_cheapest_methods_get_the_reserve_and_keep_it_at_similar_costs():
-    cheapest = Cheapest()
-    cheapest.learn([(0, 50, 50_000), (1, 20, 5_000), (2, 5, 8_000)], 0.3)
+    cheapest = CheapestMethods()
+    cheapest.update([(0, 50, 50_000), (1, 20, 5_000), (2, 5, 8_000)], 0.3)
     assert cheapest.methods == {1, 2}  # loads of 0.1 and 0.04 cores: both fit into 0.3
-    cheapest.learn([(0, 50, 50_000), (1, 20, 5_000), (2, 5, 8_000)], 0.05)
+    cheapest.update([(0, 50, 50_000), (1, 20, 5_000), (2, 5, 8_000)], 0.05)
     assert cheapest.methods == {1}
-    cheapest.learn([(0, 50, 50_000), (1, 20, 9_000), (2, 5, 8_000)], 0.05)
+    cheapest.update([(0, 50, 50_000), (1, 20, 9_000), (2, 5, 8_000)], 0.05)
     assert cheapest.methods == {1}  # 8 ms is not clearly cheaper than 9 ms
-    cheapest.learn([(0, 50, 50_000), (1, 20, 15_000), (2, 5, 8_000)], 0.05)
+    cheapest.update([(0, 50, 50_000), (1, 20, 15_000), (2, 5, 8_000)], 0.05)
     assert cheapest.methods == {2}
-    cheapest.learn([], 0.3)
+    cheapest.update([], 0.3)
     assert cheapest.methods == frozenset()
 
 
 @pytest.mark.parametrize("first_attempts, rate, max_ratio", [(1000, 100, 0.11), (1000, 7, 0.3), (100, 1, 2.1)])
 def test_retries_stay_a_share_of_first_attempts_if_all_attempts_fail(first_attempts, rate, max_ratio):
-    budget, now, retries = Budget(0.1, 1.0), 0, 0
+    budget, now, retries = RetryBudget(0.1, 1.0), 0, 0
     for _ in range(first_attempts):
         now += SECOND // rate
-        budget.first(now)
-        retries += sum(budget.take(now) for _ in range(3))  # each failed RPC asks for three retries
+        budget.record_first_attempt(now)
+        retries += sum(budget.try_spend(now) for _ in range(3))  # each failed RPC asks for three retries
     assert 0 < retries <= max_ratio * first_attempts + 10 and budget.refused > 0
 
 
-# Limits
+# ProcessLimits
 
 def run_limit(policy, result_of, calls=400, value=20.0, **options):
-    limit, now = limit_of(policy, value, 1.0, 60.0), 0
+    limit, now = make_limit(policy, value, 1.0, 60.0), 0
     for number in range(calls):
         now += 10_000
         outcome, duration = result_of(number)
-        limit.ended(Ended(outcome, duration, options.get("in_flight", int(limit.value)), 40_000,
+        limit.on_call_end(CallResult(outcome, duration, options.get("in_flight", int(limit.value)), 40_000,
                           options.get("slow_or_lost", False), outcome is not OK, now))
         assert 1.0 <= limit.value <= 60.0
     return limit.value
@@ -180,112 +190,112 @@
 
 @pytest.mark.parametrize("policy", ADAPTIVE)
 def test_limits_ignore_calls_that_ended_while_the_process_was_suspended(policy):
-    limit = limit_of(policy, 20.0, 1.0, 60.0)
+    limit = make_limit(policy, 20.0, 1.0, 60.0)
     for number in range(100):
-        limit.ended(Ended(OK, 40_000, 20, 40_000, False, False, number * 10_000))
+        limit.on_call_end(CallResult(OK, 40_000, 20, 40_000, False, False, number * 10_000))
     before = limit.value
-    limit.stalled(2_000_000)
+    limit.on_stall(2_000_000)
     for _ in range(50):  # calls that started before the resumption: late because of the suspension
-        limit.ended(Ended(OK, 900_000, 20, 40_000, False, True, 2_000_100))
-        limit.ended(Ended(Outcome.TIMEOUT, 900_000, 20, 40_000, False, True, 2_000_100))
+        limit.on_call_end(CallResult(OK, 900_000, 20, 40_000, False, True, 2_000_100))
+        limit.on_call_end(CallResult(Outcome.TIMEOUT, 900_000, 20, 40_000, False, True, 2_000_100))
     assert limit.value == before
 
 
 @pytest.mark.parametrize("policy", ["aimd", "window"])
 def test_single_lost_replies_do_not_lower_the_limit(policy):
-    limit = limit_of(policy, 20.0, 1.0, 60.0)
+    limit = make_limit(policy, 20.0, 1.0, 60.0)
     for number in range(400):
         lost = number % 10 == 0
-        limit.ended(Ended(Outcome.TIMEOUT if lost else OK, 40_000, 20, 40_000, lost, False, number * 10_000))
+        limit.on_call_end(CallResult(Outcome.TIMEOUT if lost else OK, 40_000, 20, 40_000, lost, False, number * 10_000))
     assert limit.value >= 20.0
 
 
 def test_new_bounds_apply_immediately():
-    limit = limit_of("aimd", 20.0, 1.0, 60.0)
-    limit.bound(2.0, 5.0)
+    limit = make_limit("aimd", 20.0, 1.0, 60.0)
+    limit.set_bounds(2.0, 5.0)
     assert limit.value == 5.0
 
 
 def test_stall_detector_reports_only_timers_later_than_the_tolerance():
-    detector = Stalls(30_000)
-    assert [detector.woke(now, 50_000) for now in (0, 50_000, 110_000, 400_000, 450_000)] == [0, 0, 0, 240_000, 0]
+    detector = StallDetector(30_000)
+    assert [detector.on_timer(now, 50_000) for now in (0, 50_000, 110_000, 400_000, 450_000)] == [0, 0, 0, 240_000, 0]
 
 
 # In the decision module
 
-POOLED = {"pooling": Pooling((Pool("reads", 0.5), Pool("writes", 0.5)), (0, 1)), "cores": 4}
+POOLED = {"pooling": PoolConfig((Pool("reads", 0.5), Pool("writes", 0.5)), (0, 1)), "cores": 4}
 
 
 def pooled_box(**changes):
-    return Box(lookup(), booking(), **{**POOLED, **changes})
+    return ControlHarness(lookup(), booking(), **{**POOLED, **changes})
 
 
 def test_within_a_pool_the_smallest_tag_starts_first_and_pools_keep_their_share():
     box = pooled_box()
     reads = [box.send(box.methods[0]) for _ in range(8)]
-    assert [box.did(rpc)[-1:] for rpc in reads[:4]] == [[Do.START]] * 4  # the idle pool lends its slots
+    assert [box.did(rpc)[-1:] for rpc in reads[:4]] == [[ActionKind.START]] * 4  # the idle pool lends its slots
     write = box.send(box.methods[1])
-    assert Do.START not in box.did(write)
+    assert ActionKind.START not in box.did(write)
     box.end(reads[0])
-    assert Do.START in box.did(write)  # the next free slot goes to the lender
+    assert ActionKind.START in box.did(write)  # the next free slot goes to the lender
     box.end(reads[1])
-    started = [rpc for rpc in reads if Do.START in box.did(rpc)]
+    started = [rpc for rpc in reads if ActionKind.START in box.did(rpc)]
     assert started == reads[:5]
 
 
 def test_the_heir_of_a_removed_pool_takes_over_its_rpcs():
-    box = pooled_box(pooling=Pooling((Pool("reads", 0.5, heir="writes"), Pool("writes", 0.5)), (0, 1)))
+    box = pooled_box(pooling=PoolConfig((Pool("reads", 0.5, heir="writes"), Pool("writes", 0.5)), (0, 1)))
     reads = [box.send(box.methods[0]) for _ in range(6)]
-    box.control.repool(Pooling((Pool("other", 0.3), Pool("writes", 0.7)), (1, 1)), box.now)
+    box.control.update_pools(PoolConfig((Pool("other", 0.3), Pool("writes", 0.7)), (1, 1)), box.now)
     box.flush()
-    assert box.control.pools.cores.uses[1].held == 4 and box.control.pools.begun == [0, 4]
+    assert box.control.pools.cores.usage[1].in_use == 4 and box.control.pools.in_progress == [0, 4]
     for rpc in reads:
         box.end(rpc)
-    assert all(Do.START in box.did(rpc) for rpc in reads) and box.control.pools.begun == [0, 0]
-    box.control.repool(None, box.now)
+    assert all(ActionKind.START in box.did(rpc) for rpc in reads) and box.control.pools.in_progress == [0, 0]
+    box.control.update_pools(None, box.now)
     late = box.send(box.methods[0])
-    box.control.repool(POOLED["pooling"], box.now)
+    box.control.update_pools(POOLED["pooling"], box.now)
     box.flush()
     box.end(late)
-    assert box.control.pools.begun == [0, 0] and box.control.places["running"] == 0
+    assert box.control.pools.in_progress == [0, 0] and box.control.state_counts["running"] == 0
 
 
 def test_a_pool_that_shrinks_under_load_drains_without_aborts():
     box = pooled_box()
     reads = [box.send(box.methods[0]) for _ in range(8)]
-    box.control.repool(Pooling((Pool("reads", 0.25, 0.25), Pool("writes", 0.75)), (0, 1)), box.now)
+    box.control.update_pools(PoolConfig((Pool("reads", 0.25, 0.25), Pool("writes", 0.75)), (0, 1)), box.now)
     for rpc in reads[:3]:
         box.end(rpc)
-    assert sum(Do.START in box.did(rpc) for rpc in reads) == 4 and Do.ABORT not in [a.do for a in box.log]
+    assert sum(ActionKind.START in box.did(rpc) for rpc in reads) == 4 and ActionKind.ABORT not in [a.kind for a in box.actions]
     box.end(reads[3])
-    assert sum(Do.START in box.did(rpc) for rpc in reads) == 5
+    assert sum(ActionKind.START in box.did(rpc) for rpc in reads) == 5
 
 
 def test_a_repeated_rpc_with_an_idempotency_key_joins_its_run_after_a_change_of_pools():
     box = pooled_box()
     first = box.send(box.methods[1])
-    box.control.repool(Pooling((Pool("one", 1.0),), (0, 0)), box.now)
+    box.control.update_pools(PoolConfig((Pool("one", 1.0),), (0, 0)), box.now)
     repeated = box.send(box.methods[1], earlier=first)
-    assert box.did(repeated) == [Do.JOIN]
+    assert box.did(repeated) == [ActionKind.JOIN]
     box.end(first)
-    assert box.did(first).count(Do.START) == 1
+    assert box.did(first).count(ActionKind.START) == 1
 
 
 def test_retries_of_calls_are_taken_from_the_pools_retry_budget():
     method = lookup(skip_share=0.3)
-    box = Box(method, calls_out=20.0, pooling=Pooling((Pool("p", 1.0, retries=0.0, floor=0.1),), (0,)))
+    box = ControlHarness(method, calls_out=20.0, pooling=PoolConfig((Pool("p", 1.0, retry_ratio=0.0, min_retries_per_s=0.1),), (0,)))
     rpcs = [box.send() for _ in range(2)]
     for rpc in rpcs:
         box.at_call(rpc)
-        box.call_ends(rpc, Outcome.TIMEOUT)
-    assert [box.did(rpc).count(Do.CALL) for rpc in rpcs] == [2, 1]  # the budget allows one retry in ten seconds
-    assert box.did(rpcs[1])[-1] is Do.SKIP
+        box.end_call(rpc, Outcome.TIMEOUT)
+    assert [box.did(rpc).count(ActionKind.CALL) for rpc in rpcs] == [2, 1]  # the budget allows one retry in ten seconds
+    assert box.did(rpcs[1])[-1] is ActionKind.SKIP
 
 
 # Simulations
 
-POOLING = Pooling((Pool("lookups", 0.3), Pool("holds", 0.3)), (0, 1), Reserve(0.05, 0.05, 0.05))
-LIMITED = {"pooling": POOLING, "below": Below("aimd", 1.0, 60.0), "seconds": 45}
+POOLING = PoolConfig((Pool("lookups", 0.3), Pool("holds", 0.3)), (0, 1), Reserve(0.05, 0.05, 0.05))
+LIMITED = {"pooling": POOLING, "call_limit": CallLimitConfig("aimd", 1.0, 60.0), "seconds": 45}
 
 
 def served(box, name, start, end):
@@ -296,36 +306,36 @@
 @pytest.mark.parametrize("scene, best, seeds", [("slow", 12.0, 3), ("waves", 12.0, 3), ("weak", 10.0, 3),
                                                 ("dead", 4.0, 10)])
 def test_adaptive_limits_match_the_best_fixed_limit_under_overload(scene, best, seeds):
-    adaptive = [Scene(scene, seed, **LIMITED).run().worth(5, 45) for seed in range(1, seeds + 1)]
-    fixed = [Scene(scene, seed, seconds=45, below=Below("fixed", best, best)).run().worth(5, 45)
+    adaptive = [SceneSimulation(scene, seed, **LIMITED).run().worth(5, 45) for seed in range(1, seeds + 1)]
+    fixed = [SceneSimulation(scene, seed, seconds=45, call_limit=CallLimitConfig("fixed", best, best)).run().worth(5, 45)
              for seed in range(1, seeds + 1)]
     assert sum(adaptive) > 0.985 * sum(fixed)  # benchmarks/pools.py contains the full measurement
 
 
 def test_holds_are_served_while_the_ledger_is_slow_and_lookups_recover_afterwards():
-    box = Scene("slow", 4, **LIMITED).run()
+    box = SceneSimulation("slow", 4, **LIMITED).run()
     rate = 34 * 1.2
     assert served(box, "hold", 15, 33) > 0.9 * rate * 18
     before, after = served(box, "lookup", 5, 15) / 10, served(box, "lookup", 36, 44) / 8
     assert after > 0.93 * before  # the limit has grown again, and nothing collapsed a second time
-    assert box.ledger.judge.deaths == 0 and box.ledger.judge.most <= 60
+    assert box.ledger.stats.deaths == 0 and box.ledger.stats.max_in_service <= 60
 
 
 def test_a_slow_pool_does_not_affect_another_pool():
-    demands = [*usual(0.9), Demand(plain(skip_share=0.0), "quote", 10, 30_000, calls=True)]
-    pooling = Pooling((Pool("lookups", 0.4), Pool("holds", 0.3), Pool("quotes", 0.2)), (0, 1, 2))
-    box = Scene("one class", 5, demands=demands, **(LIMITED | {"pooling": pooling})).run()
-    rate = box.sent["quote"] / 45
+    demands = [*default_demands(0.9), Demand(plain(skip_share=0.0), "quote", 10, 30_000, makes_calls=True)]
+    pooling = PoolConfig((Pool("lookups", 0.4), Pool("holds", 0.3), Pool("quotes", 0.2)), (0, 1, 2))
+    box = SceneSimulation("one class", 5, demands=demands, **(LIMITED | {"pooling": pooling})).run()
+    rate = box.rpcs_by_method["quote"] / 45
     assert served(box, "quote", 16, 32) > 0.9 * rate * 16
 
 
 def test_limits_do_not_oscillate_with_growing_amplitude_over_ten_slow_periods():
-    scene = Scene("waves", 6, **(LIMITED | {"seconds": 55}))
+    scene = SceneSimulation("waves", 6, **(LIMITED | {"seconds": 55}))
     values = []
     for cycle in range(10):
         for sample in (7.4, 9.9):
-            scene.at(sample + 5 * cycle - (0 if sample < 9 else 0.1),
-                     lambda: values.append((scene.box.control.below.value, len(scene.ledger.work))))
+            scene.call_at(sample + 5 * cycle - (0 if sample < 9 else 0.1),
+                     lambda: values.append((scene.instance.control.call_limit.value, len(scene.ledger.in_service))))
     scene.run()
     early, late = values[4:10], values[-6:]
     assert max(v for v, _ in late) <= 1.5 * max(v for v, _ in early) and min(v for v, _ in late) >= 1.0
@@ -334,24 +344,24 @@
 
 def test_a_flood_of_the_cheapest_method_uses_only_its_pool_and_the_reserve():
     flood = Demand(plain(skip_share=0.0, criticality=0.5, latency_target=500_000), "view", 900, 8_000)
-    pooling = Pooling((Pool("lookups", 0.4), Pool("holds", 0.4), Pool("views", 0.1)), (0, 1, 2), Reserve(0.1, 0.05))
-    box = Scene("calm", 7, demands=[*usual(0.8), flood], **(LIMITED | {"pooling": pooling, "seconds": 25})).run()
+    pooling = PoolConfig((Pool("lookups", 0.4), Pool("holds", 0.4), Pool("views", 0.1)), (0, 1, 2), Reserve(0.1, 0.05))
+    box = SceneSimulation("calm", 7, demands=[*default_demands(0.8), flood], **(LIMITED | {"pooling": pooling, "seconds": 25})).run()
     rate = 34 * 0.8
     assert served(box, "hold", 5, 24) > 0.8 * rate * 19
 
 
 def test_a_drain_under_load_answers_all_rpcs():
-    scene = Scene("drain", 8, **LIMITED)
+    scene = SceneSimulation("drain", 8, **LIMITED)
     box = scene.run()
-    assert not [run for run in box.tries.values() if not run.over]
-    counts = box.control.places
-    assert box.control.pools.begun == [0, 0] and not any(counts[p] for p in ("running", "held", "calling"))
+    assert not [run for run in box.attempts.values() if not run.answered]
+    counts = box.control.state_counts
+    assert box.control.pools.in_progress == [0, 0] and not any(counts[p] for p in ("running", "held", "calling"))
 
 
 def test_a_pool_that_was_idle_for_half_a_minute_gets_its_share_for_a_burst():
-    demands = usual(1.2)
-    demands[1].factor = lambda elapsed: 0.0 if elapsed < 30 * SECOND else 1.5
-    box = Scene("calm", 9, demands=demands, **(LIMITED | {"seconds": 45})).run()
+    demands = default_demands(1.2)
+    demands[1].rate_factor = lambda elapsed: 0.0 if elapsed < 30 * SECOND else 1.5
+    box = SceneSimulation("calm", 9, demands=demands, **(LIMITED | {"seconds": 45})).run()
     assert served(box, "hold", 31, 44) > 0.85 * 34 * 1.2 * 1.5 * 13
 
 
@@ -366,16 +376,16 @@
 
 
 def test_an_instance_serves_with_pools_and_changes_them_at_a_reload():
-    plan = read(Memory({"a": PLAN.encode()}), "a").plan
-    with World(Interpreter(), Answering(reply(200, b"posted")), plan=plan) as world:
+    plan = read(MemoryFolder({"a": PLAN.encode()}), "a").plan
+    with ServiceHarness(Interpreter(), ScriptedHttpServer(reply(200, b"posted")), plan=plan) as world:
         caller = world.caller()
-        assert [caller.ask("lookup").status for _ in range(3)] == [200] * 3
+        assert [caller.request("lookup").status for _ in range(3)] == [200] * 3
         driver = world.instance.driver
-        assert driver.control.pools.count == 2 and driver.figures()["pool.reads.started_in_need"] >= 3
-        changed = read(Memory({"a": PLAN.replace("40%", "30%").encode()}), "a").plan
+        assert driver.control.pools.count == 2 and driver.metrics()["pool.reads.started_in_need"] >= 3
+        changed = read(MemoryFolder({"a": PLAN.replace("40%", "30%").encode()}), "a").plan
         world.instance.reload(world.config(plan=changed))
-        assert driver.control.pools.plan.pools[0].guaranteed == 0.3
-        assert caller.ask("order").status == 200
+        assert driver.control.pools.pooling.pools[0].guaranteed == 0.3
+        assert caller.request("order").status == 200
         world.instance.reload(world.config(plan=None))
-        assert driver.control.pools is None and caller.ask("lookup").status == 200
-        until(lambda: not driver.exchanges)
+        assert driver.control.pools is None and caller.request("lookup").status == 200
+        wait_until(lambda: not driver.exchanges)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -11,10 +11,10 @@
 from hollystage.cli import app
 from hollystage.decisions.membership.members import Members
 from hollystage.standins.fleet import check
-from hollystage.standins.fleet.draw import SCENES, SHARED_LOAD, drawn, scene
-from hollystage.standins.fleet.faults import Fault, Net, Schedule
+from hollystage.standins.fleet.faults import Fault, Network, Schedule
+from hollystage.standins.fleet.fleet_simulation import FleetSimulation
 from hollystage.standins.fleet.rig import Load
-from hollystage.standins.fleet.twin import Twin
+from hollystage.standins.fleet.schedules import BUDGET_LOAD, SCENES, random_schedule, scene_schedule
 
 RUN_TIMEOUT_S = 75.0
 
@@ -48,7 +48,7 @@
     Fault(4.5, "kill", ["m2"]), Fault(5.5, "start", ["m2"]),
     Fault(6.5, "cut", ["m0", "m3"], ["m1", "m2", "m4"], True),
     Fault(8.5, "heal", ["m0", "m3"], ["m1", "m2", "m4"], True), Fault(7.0, "clock", ["m4"], amount=1.01)],
-    load=SHARED_LOAD | {"whole": 14, "calls_out": 14.0, "rate": 200.0, "clients": 120, "lease_ms": 1000,
+    load=BUDGET_LOAD | {"whole": 14, "calls_out": 14.0, "rate": 200.0, "clients": 120, "lease_ms": 1000,
                         "warm_up_s": 3.0})
 CASES = {"budgets": (BUDGET, ""), "bounds-unheard": (BUDGET, "bounds-unheard"),
          "asleep": (TERM_WHILE_PAUSED, ""), "hear-late": (TERM_WHILE_PAUSED, "hear-late"),
@@ -88,7 +88,7 @@
     assert report["violations"] == [] and code == 0
     measured = report["measured"]
     assert measured["answers"]["ok"] > 100 and measured["settled_s"] is not None
-    assert report["seed"] == CASES[name][0].seed and report["faults"] == CASES[name][0].kinds()
+    assert report["seed"] == CASES[name][0].seed and report["faults"] == CASES[name][0].fault_counts()
 
 
 @pytest.mark.parametrize("name, rule", [("never-ask-lost", "views agree"), ("forget-tokens", "2 no effect twice"),
@@ -161,15 +161,15 @@
     ([entry(1, "m1", "proc", mb=193, cpu=1, fds=9)], "4"), ([entry(1, "m1", "proc", mb=90, cpu=1, fds=513)], "4"),
 ])
 def test_check_rules_reports_violations(lines, rule):
-    violations = check.rules(sorted(lines, key=lambda line: line["t"]), Load())
+    violations = check.check_rules(sorted(lines, key=lambda line: line["t"]), Load())
     assert {violation.rule[0] for violation in violations} == ({rule} if rule else set())
 
 
 def test_runs_of_an_earlier_process_count_across_restarts():
     lines = [*ONE_RUN, entry(1.5, "m1", "signal", number=9), entry(2, "m1", "began", pid=2, life=2), attempt(3, "r2"),
              run(3.1, "r2"), end(3.2, "r2")]
-    assert not check.rules(lines, Load())
-    assert [v.rule[0] for v in check.rules(lines, Load(), across_lives=True)] == ["2"]
+    assert not check.check_rules(lines, Load())
+    assert [v.rule[0] for v in check.check_rules(lines, Load(), across_restarts=True)] == ["2"]
 
 
 def peer_event(t, who, event, about, detail="", boot=1):
@@ -195,40 +195,40 @@
     ([entry(t, "switchboard", "datagrams", counts={"m1": 300, "m2": 5}) for t in range(5)], "few datagrams"),
 ])
 def test_check_membership_reports_violations(lines, rule):
-    assert {violation.rule for violation in check.membership(lines)} == ({rule} if rule else set())
+    assert {violation.rule for violation in check.check_membership(lines)} == ({rule} if rule else set())
 
 
 # Schedules, in virtual time
 
 def simulate(schedule, members_class=Members):
-    fleet = Twin(schedule.members, schedule.seed, zones=schedule.zones, kind=members_class)
-    joined = fleet.until_agreed(20)
-    fleet.play(schedule.faults)
+    fleet = FleetSimulation(schedule.members, schedule.seed, zones=schedule.zones, members_class=members_class)
+    joined = fleet.run_until_agreed(20)
+    fleet.schedule_faults(schedule.faults)
     fleet.run(schedule.seconds)
     fleet.apply(Fault(0, "heal", list(fleet.nodes), both=True))
-    return fleet, joined, fleet.until_agreed(60)
+    return fleet, joined, fleet.run_until_agreed(60)
 
 
 @pytest.mark.parametrize("seed", range(40))
 def test_random_schedules_end_with_views_that_agree(seed):
-    fleet, joined, agreed = simulate(drawn(seed, 10, 12.0))
+    fleet, joined, agreed = simulate(random_schedule(seed, 10, 12.0))
     assert joined is not None and agreed is not None
     for node in fleet.nodes.values():
-        assert len(node.members.records) <= 9 and len(node.members.news) <= 10
+        assert len(node.members.records) <= 9 and len(node.members.updates) <= 10
 
 
 @pytest.mark.parametrize("name", SCENES)
 def test_every_scene_can_be_encoded_and_names_known_parties(name):
     import msgspec
 
-    schedule = scene(name, 12)
-    assert msgspec.json.decode(msgspec.json.encode(schedule), type=Schedule) == schedule and not schedule.unknown()
+    schedule = scene_schedule(name, 12)
+    assert msgspec.json.decode(msgspec.json.encode(schedule), type=Schedule) == schedule and not schedule.unknown_party()
 
 
 def test_equal_seeds_draw_equal_schedules_whose_faults_end_in_time():
     for seed in range(200):
-        schedule = drawn(seed)
-        assert schedule == drawn(seed) and not schedule.unknown()
+        schedule = random_schedule(seed)
+        assert schedule == random_schedule(seed) and not schedule.unknown_party()
         assert all(fault.at <= schedule.seconds + 2.5 for fault in schedule.faults)
 
 
@@ -236,8 +236,8 @@
     def terminates_paused(schedule):
         return any(pause.at < term.at < pause.at + pause.amount for pause in schedule.faults if pause.do == "pause"
                    for term in schedule.faults if term.do == "term" and set(term.who) & set(pause.who))
-    assert 70 < sum(terminates_paused(drawn(seed, 5, 12.0)) for seed in range(200)) < 130
-    assert terminates_paused(drawn(771203, 5, 12.0)) and not terminates_paused(drawn(3, kinds=("cut",)))
+    assert 70 < sum(terminates_paused(random_schedule(seed, 5, 12.0)) for seed in range(200)) < 130
+    assert terminates_paused(random_schedule(771203, 5, 12.0)) and not terminates_paused(random_schedule(3, kinds=("cut",)))
 
 
 @pytest.mark.parametrize("fault, share", [
@@ -245,19 +245,19 @@
     (Fault(0, "lose", ["a"], ["b"], amount=0.3), 0.7), (Fault(0, "double", ["a"], ["b"], amount=0.5), 1.5),
     (Fault(0, "delay", ["a"], ["b"], amount=0.2, jitter=0.1), 1.0), (Fault(0, "heal", ["a"], ["b"]), 1.0)])
 def test_link_faults_affect_datagrams_of_one_direction(fault, share):
-    network = Net(1)
+    network = Network(1)
     network.apply(fault, ["a", "b", "c"])
-    deliveries = [network.fates(("a", "b"), 100, 0.0) for _ in range(2000)]
+    deliveries = [network.deliveries(("a", "b"), 100, 0.0) for _ in range(2000)]
     assert abs(sum(map(len, deliveries)) / 2000 - share) < 0.06
-    assert network.fates(("b", "a"), 100, 0.0) == [(0.0, False)] == network.fates(("a", "c"), 100, 0.0)
+    assert network.deliveries(("b", "a"), 100, 0.0) == [(0.0, False)] == network.deliveries(("a", "c"), 100, 0.0)
     if fault.do == "delay":
         assert all(0.2 <= copies[0][0] <= 0.3 for copies in deliveries)
 
 
 def test_capped_link_queues_one_second_and_drops_the_rest():
-    network = Net(1)
+    network = Network(1)
     network.apply(Fault(0, "cap", ["a"], ["b"], amount=1000.0), ["a", "b"])
-    deliveries = [network.fates(("a", "b"), 100, 0.0) for _ in range(30)]
+    deliveries = [network.deliveries(("a", "b"), 100, 0.0) for _ in range(30)]
     assert [round(copies[0][0], 1) for copies in deliveries[:10]] == [round(0.1 * n, 1) for n in range(1, 11)]
     assert deliveries[15:] == [[]] * 15
 
