--- a/hollystage/settings.py
+++ b/hollystage/settings.py
@@ -1,7 +1,7 @@
-"""The platform's JSON settings of a deployment: validated, then translated to the types of `interface`.
+"""Validates a deployment's settings, which the platform sends as JSON, and translates them to `interface.Settings`.
 
-The bench adapter and the service share this module, so that an instance takes the same decisions in both. Unknown
-keys are ignored.
+The benchmark adapter and the service share this module, so that an instance takes the same decisions in both.
+Unknown keys are ignored.
 """
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 METHOD_KINDS = {"repeatable": MethodKind.IDEMPOTENT, "by_key": MethodKind.KEYED, "once": MethodKind.NON_IDEMPOTENT}
 GAUGE_NAMES = {"cpu_busy": "cores", "runnable": "crowd", "mem_used": "memory", "sockets": "connections"}
 
-MAX_FIGURE = 1e15  # upper bound of any number: thirty years in microseconds; with more, sums and squares would overflow
-NonNegative = Annotated[float, msgspec.Meta(ge=0, le=MAX_FIGURE)]
-Positive = Annotated[float, msgspec.Meta(gt=0, le=MAX_FIGURE)]
+# upper bound of all numbers: thirty years in microseconds; beyond it, sums and squares would overflow
+MAX_NUMBER = 1e15
+NonNegative = Annotated[float, msgspec.Meta(ge=0, le=MAX_NUMBER)]
+Positive = Annotated[float, msgspec.Meta(gt=0, le=MAX_NUMBER)]
 
 
 class ConfigError(ValueError):
@@ -28,7 +29,7 @@
 
 
 class Profile(SettingsPart):
-    """A method: whether it may repeat, its value, latency target, deadline and key window."""
+    """A method: whether it may run again, its value, latency target, deadline, and how long its keys are remembered."""
 
     repeat: Literal["repeatable", "by_key", "once"]
     value: NonNegative
@@ -41,7 +42,7 @@
 class Domain(SettingsPart):
     """The machine of an instance and the dependency that its RPCs call."""
 
-    cores: Annotated[float, msgspec.Meta(ge=1, le=MAX_FIGURE)]
+    cores: Annotated[float, msgspec.Meta(ge=1, le=MAX_NUMBER)]
     ram_kb: Positive
     run_factor: Positive
     key_kb: NonNegative = 0
@@ -57,14 +58,14 @@
     idle_us: NonNegative = 0
 
     def __post_init__(self) -> None:
-        # a share of calls exists for a shared dependency only: a tier of servers does not announce one
+        # only a shared dependency announces a share of calls; a tier of servers limits its own load
         if self.depends_on != "shared" and self.calls_out:
             raise ValueError(f"CallsOut: only a shared dependency has a share of calls, but DependsOn is "
                              f"{self.depends_on!r}")
 
 
 class Rules(SettingsPart):
-    """Limits of the machine: where throughput collapses, the grace of a drain, and the warm-up."""
+    """The load at which throughput collapses, the grace period of a drain, and the warm-up."""
 
     fall_multiple: Positive
     stop_sending_within_us: NonNegative
@@ -93,7 +94,7 @@
     profiles: Annotated[list[Profile], msgspec.Meta(min_length=1)]
     limits: RetryAfterLimits = msgspec.field(default_factory=RetryAfterLimits)
     tenants: list[TenantQuota] | None = None
-    peers_total: Annotated[float, msgspec.Meta(ge=1, le=MAX_FIGURE)] = 1
+    peers_total: Annotated[float, msgspec.Meta(ge=1, le=MAX_NUMBER)] = 1
     over_share_worth: NonNegative = 1
     worth_by: Literal["request", "work"] = "request"
 
@@ -106,7 +107,7 @@
 
     >>> read(b'{"Domain": {"Cores": "six"}}')
     Traceback (most recent call last):
-    hollystage.settings.Faulty: settings cannot be read: Expected `float`, got `str` - at `$.Domain.Cores`
+    hollystage.settings.ConfigError: settings cannot be read: Expected `float`, got `str` - at `$.Domain.Cores`
     """
     try:
         return msgspec.json.decode(text, type=Deployment)
@@ -132,4 +133,5 @@
         calls_out=domain.calls_out, call_averaging_span=int(domain.dep_window_us), linger=int(domain.stays_for_us),
         gauges=[GAUGE_NAMES.get(name, name) for name in domain.gauges],
         max_retry_after=int(raw.limits.max_retry_after_us) if raw.limits.retry_after else 0,
-        max_idle=int(domain.idle_us), criticality_per_work=raw.worth_by == "work", downstream_tier=domain.depends_on == "tier")
+        max_idle=int(domain.idle_us), criticality_per_work=raw.worth_by == "work",
+        downstream_tier=domain.depends_on == "tier")
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -5,45 +5,46 @@
 from hollystage.interface import ActionKind, Halt, LoadSignal, MethodKind, Outcome, Pool, PoolConfig, Tenant
 from hollystage.policy.buckets import BUCKETS, TICK, Client
 
-START, PUSH_BACK, ABORT, HALT, JOIN, KEEP = ActionKind.START, ActionKind.REJECT, ActionKind.ABORT, ActionKind.HALT, ActionKind.JOIN, ActionKind.KEEP
+START, REJECT, ABORT, HALT, JOIN, KEEP = (
+    ActionKind.START, ActionKind.REJECT, ActionKind.ABORT, ActionKind.HALT, ActionKind.JOIN, ActionKind.KEEP)
 
 
 def test_cascade_takes_tokens_from_the_innermost_bucket_with_one_and_all_outer_buckets():
     client = Client(None, lookup(latency_target=SECOND, deadline=3 * SECOND), 2.0, 0)
-    assert BUCKETS == 2 and client.tokens == [4.0, 2.5 * 3]  # minimum capacity
+    assert BUCKETS == 2 and client.tokens == [4.0, 2.5 * 3]  # the first is the minimum capacity
     assert [client.classify(0) for _ in range(9)] == [1] * 4 + [2] * 3 + [3] * 2
     assert client.classify(SECOND) == 1
 
 
 def test_more_critical_rpc_starts_first_among_equal_targets():
-    box = ControlHarness(lookup(), lookup(criticality=4.0))
-    running = box.fill()
-    plain, critical = box.send(), box.send(box.methods[1])
-    box.end(running[0])
-    assert box.did(plain) == [] and box.did(critical) == [START] and critical.tag == box.now + SECOND
+    harness = ControlHarness(lookup(), lookup(criticality=4.0))
+    running = harness.fill()
+    plain, critical = harness.send(), harness.send(harness.methods[1])
+    harness.end(running[0])
+    assert harness.did(plain) == [] and harness.did(critical) == [START] and critical.tag == harness.now + SECOND
 
 
 @pytest.mark.parametrize("first, second", [(1, 3), (3, 1)])
 def test_smallest_finish_tag_starts_first(first, second):
     methods = [lookup(latency_target=n * SECOND) for n in (1, 2, 3)]
-    box = ControlHarness(*methods)
-    running = box.fill(methods[1])
-    queued = {n: box.send(methods[n - 1]) for n in (first, second)}
-    box.end(running[0])
-    assert box.did(queued[1]) == [START] and box.did(queued[3]) == []
+    harness = ControlHarness(*methods)
+    running = harness.fill(methods[1])
+    queued = {n: harness.send(methods[n - 1]) for n in (first, second)}
+    harness.end(running[0])
+    assert harness.did(queued[1]) == [START] and harness.did(queued[3]) == []
 
 
 @pytest.mark.parametrize("kind, again", [(MethodKind.IDEMPOTENT, None), (MethodKind.KEYED, None)])
 @pytest.mark.parametrize("state", ["held", "running", "at call"])
 def test_every_rpc_is_answered_by_its_due_time(kind, again, state):
     method = lookup(kind=kind, window=8 * SECOND)
-    box = ControlHarness(method, calls_out=2.0)
-    running = box.fill()
-    rpc = box.send() if state == "held" else running[0]
+    harness = ControlHarness(method, calls_out=2.0)
+    running = harness.fill()
+    rpc = harness.send() if state == "held" else running[0]
     if state == "at call":
-        box.at_call(rpc)
-    box.advance(6 * SECOND)
-    answers = [a for a in box.did(rpc) if a in (PUSH_BACK, ABORT)]
+        harness.at_call(rpc)
+    harness.advance(6 * SECOND)
+    answers = [a for a in harness.did(rpc) if a in (REJECT, ABORT)]
     ran_with_key = kind is MethodKind.KEYED and state != "held"
     assert len(answers) == 1 and (answers == [ABORT] if ran_with_key else True)
 
@@ -57,55 +58,54 @@
     (1000, True, 0),       # the timeout of a first attempt, none of which was rejected here yet
 ])
 def test_age_of_a_retry_is_estimated_from_its_timeout(timeout, is_retry, age):
-    box = ControlHarness()
+    harness = ControlHarness()
     for n in range(12):
-        box.send(timeout=1000_000, caller=n)
-    rpc = box.send(timeout=timeout * 1000, is_retry=is_retry)
-    assert rpc.target == box.now + 2 * SECOND - age * 1000
+        harness.send(timeout=1000_000, caller=n)
+    rpc = harness.send(timeout=timeout * 1000, is_retry=is_retry)
+    assert rpc.target == harness.now + 2 * SECOND - age * 1000
 
 
 def test_repeats_with_an_idempotency_key_run_once():
-    box = ControlHarness(booking())
-    first = box.send()
-    assert box.did(first) == [KEEP, START]
-    assert box.did(box.send(earlier=first)) == [JOIN]
-    box.end(first)
-    assert box.did(box.send(earlier=first)) == [JOIN]
-    box.fill()
-    queued = box.send()
-    newer = box.send(earlier=queued)
-    assert box.did(queued) == [KEEP, PUSH_BACK] and box.did(newer) == [KEEP]
+    harness = ControlHarness(booking())
+    first = harness.send()
+    assert harness.did(first) == [KEEP, START]
+    assert harness.did(harness.send(earlier=first)) == [JOIN]
+    harness.end(first)
+    assert harness.did(harness.send(earlier=first)) == [JOIN]
+    harness.fill()
+    queued = harness.send()
+    newer = harness.send(earlier=queued)
+    assert harness.did(queued) == [KEEP, REJECT] and harness.did(newer) == [KEEP]
 
 
 @pytest.mark.parametrize("memory, runs", [(10_000.0, True), (85.0, False)])
 def test_rpc_is_not_run_without_memory_for_its_idempotency_key(memory, runs):
-    box = ControlHarness(booking(), memory=memory, run_factor=2.0, key_size=80.0)
-    assert (START in box.did(box.send())) == runs
+    harness = ControlHarness(booking(), memory=memory, run_factor=2.0, key_size=80.0)
+    assert (START in harness.did(harness.send())) == runs
 
 
 @pytest.mark.parametrize("cold, limit", [(False, 8), (True, 2)])
 def test_rpcs_in_and_after_calls_count_towards_the_concurrency_limit(cold, limit):
-    box = ControlHarness(lookup(), calls_out=100.0, cold=cold, cold_from=0.1,
-              warm_after=10 * SECOND)
+    harness = ControlHarness(lookup(), calls_out=100.0, cold=cold, cold_from=0.1, warm_after=10 * SECOND)
     for _ in range(20):
-        box.at_call(box.send())
-    assert sum(box.control.state_counts[p] for p in ("running", "calling", "waiting")) <= limit
+        harness.at_call(harness.send())
+    assert sum(harness.control.state_counts[state] for state in ("running", "calling", "waiting")) <= limit
 
 
 @pytest.mark.parametrize("waited, runs", [(0, False), (SECOND, True)])
 def test_rpc_that_arrives_after_the_drain_grace_is_not_run(waited, runs):
-    box = ControlHarness()
-    box.control.leaving(5 * SECOND, box.now)
-    box.now += 2 * SECOND + 1000
-    assert (START in box.did(box.send(unread_time=waited))) == runs
+    harness = ControlHarness()
+    harness.control.start_drain(5 * SECOND, harness.now)
+    harness.now += 2 * SECOND + 1000
+    assert (START in harness.did(harness.send(unread_time=waited))) == runs
 
 
 def test_every_rpc_is_answered_before_the_end_of_a_drain():
-    box = ControlHarness(lookup(), booking())
-    rpcs = box.fill(box.methods[0]) + [box.send(box.methods[1])]
-    box.control.leaving(SECOND, box.now)
-    box.advance(SECOND)
-    assert all(PUSH_BACK in box.did(r) or ABORT in box.did(r) for r in rpcs)
+    harness = ControlHarness(lookup(), booking())
+    rpcs = harness.fill(harness.methods[0]) + [harness.send(harness.methods[1])]
+    harness.control.start_drain(SECOND, harness.now)
+    harness.advance(SECOND)
+    assert all(REJECT in harness.did(r) or ABORT in harness.did(r) for r in rpcs)
 
 
 @pytest.mark.parametrize("outcome, kind, share, expected", [
@@ -120,196 +120,197 @@
     (Outcome.CONNECT_FAILED, MethodKind.NON_IDEMPOTENT, 0.0, ActionKind.CALL),
 ])
 def test_call_is_retried_only_if_it_may_be_repeated(outcome, kind, share, expected):
-    box = ControlHarness(lookup(kind=kind, skip_share=share, window=SECOND), calls_out=4.0)
-    rpc = box.send()
-    box.at_call(rpc)
-    assert box.end_call(rpc, outcome)[0].kind is expected
+    harness = ControlHarness(lookup(kind=kind, skip_share=share, window=SECOND), calls_out=4.0)
+    rpc = harness.send()
+    harness.at_call(rpc)
+    assert harness.end_call(rpc, outcome)[0].kind is expected
 
 
 @pytest.mark.parametrize("lost, expected, lowered", [(1, ActionKind.CALL, False), (14, ActionKind.SKIP, True)])
 def test_single_lost_replies_do_not_lower_the_call_limit_but_many_do(lost, expected, lowered):
-    box = ControlHarness(lookup(skip_share=0.3), calls_out=60.0, cores=16)
+    harness = ControlHarness(lookup(skip_share=0.3), calls_out=60.0, cores=16)
     for _ in range(10):
-        rpc = box.send()
-        box.at_call(rpc)
-        box.end_call(rpc, Outcome.OK, spent=8000)
-        box.end(rpc)
-    limit, rpcs = box.control.call_limit.value, box.fill(count=lost)
+        rpc = harness.send()
+        harness.at_call(rpc)
+        harness.end_call(rpc, Outcome.OK, duration=8000)
+        harness.end(rpc)
+    limit, rpcs = harness.control.call_limit.value, harness.fill(count=lost)
     for rpc in rpcs:
-        box.at_call(rpc)
-        assert next(a.duration for a in box.actions if a.kind is ActionKind.CALL and a.rpc is rpc) == 240_000  # instead of two seconds
-    box.now += 240_000
-    assert [box.end_call(rpc, Outcome.TIMEOUT)[0].kind for rpc in rpcs][-1] is expected
-    assert (box.control.call_limit.value < limit) == lowered
+        harness.at_call(rpc)
+        # the call counts as lost at 30 times the usual duration, long before the target of two seconds
+        assert next(a.duration for a in harness.actions if a.kind is ActionKind.CALL and a.rpc is rpc) == 240_000
+    harness.now += 240_000
+    assert [harness.end_call(rpc, Outcome.TIMEOUT)[0].kind for rpc in rpcs][-1] is expected
+    assert (harness.control.call_limit.value < limit) == lowered
     if lowered:  # the dependency may be slow: later calls wait as long as they can
-        rpc = box.send()
-        box.at_call(rpc)
-        assert next(a.duration for a in box.actions if a.kind is ActionKind.CALL and a.rpc is rpc) > SECOND
+        rpc = harness.send()
+        harness.at_call(rpc)
+        assert next(a.duration for a in harness.actions if a.kind is ActionKind.CALL and a.rpc is rpc) > SECOND
 
 
 @pytest.mark.parametrize("kind, halted", [(MethodKind.IDEMPOTENT, True), (MethodKind.KEYED, False)])
 def test_work_of_a_disconnected_caller_is_halted_unless_a_repeat_may_join_it(kind, halted):
-    box = ControlHarness(lookup(kind=kind, window=SECOND))
-    rpc = box.send()
-    box.disconnect(rpc)
-    assert (HALT in box.did(rpc)) == halted
+    harness = ControlHarness(lookup(kind=kind, window=SECOND))
+    rpc = harness.send()
+    harness.disconnect(rpc)
+    assert (HALT in harness.did(rpc)) == halted
 
 
 def test_hung_cores_are_reported_and_their_rpcs_rejected():
-    box = ControlHarness()
-    running, queued = box.fill(), box.send(timeout=5 * SECOND)
+    harness = ControlHarness()
+    running, queued = harness.fill(), harness.send(timeout=5 * SECOND)
     queued.target += 5 * SECOND
-    assert not any(a.kind is ActionKind.HEALTH for a in box.advance(2 * SECOND))  # a single long run is no hang
-    assert any(a.kind is ActionKind.HEALTH and not a.flag for a in box.advance(SECOND))
-    assert PUSH_BACK in box.did(queued) and PUSH_BACK in box.did(running[0])
-    assert box.did(box.send()) == [PUSH_BACK]
-    box.end(running[0])
-    assert any(a.kind is ActionKind.HEALTH and a.flag for a in box.advance(1))
+    assert not any(a.kind is ActionKind.HEALTH for a in harness.advance(2 * SECOND))  # a single long run is no hang
+    assert any(a.kind is ActionKind.HEALTH and not a.flag for a in harness.advance(SECOND))
+    assert REJECT in harness.did(queued) and REJECT in harness.did(running[0])
+    assert harness.did(harness.send()) == [REJECT]
+    harness.end(running[0])
+    assert any(a.kind is ActionKind.HEALTH and a.flag for a in harness.advance(1))
 
 
 def test_single_high_cost_does_not_reject_all_later_rpcs():
-    box = ControlHarness(lookup(latency_target=SECOND))
-    slow = box.send()
-    box.now += 3 * SECOND
-    box.end(slow)
-    assert box.did(box.send()) == [START]
+    harness = ControlHarness(lookup(latency_target=SECOND))
+    slow = harness.send()
+    harness.now += 3 * SECOND
+    harness.end(slow)
+    assert harness.did(harness.send()) == [START]
 
 
 @pytest.mark.parametrize("runnable, runs", [(8.0, 4), (40.0, 2)])  # the run limit decays too
 def test_other_runnable_threads_lower_the_run_limit_down_to_the_number_of_cores(runnable, runs):
-    box = ControlHarness(lookup(latency_target=60 * SECOND, deadline=90 * SECOND))
-    sent = box.fill(count=30)
-    box.advance(SECOND, cores=0.5, crowd=1.0)
-    first = [rpc for rpc in sent if START in box.did(rpc)]
-    box.advance(SECOND, crowd=runnable)
+    harness = ControlHarness(lookup(latency_target=60 * SECOND, deadline=90 * SECOND))
+    sent = harness.fill(count=30)
+    harness.advance(SECOND, cores=0.5, crowd=1.0)
+    first = [rpc for rpc in sent if START in harness.did(rpc)]
+    harness.advance(SECOND, crowd=runnable)
     for rpc in first:
-        box.end(rpc)
-    assert len(first) == 8 and sum(START in box.did(rpc) for rpc in sent) - len(first) == runs
+        harness.end(rpc)
+    assert len(first) == 8 and sum(START in harness.did(rpc) for rpc in sent) - len(first) == runs
 
 
 @pytest.mark.parametrize("callers, shortest", [(3, False), (1000, True)])
 def test_idle_limit_is_long_for_returning_callers(callers, shortest):
-    box = ControlHarness(max_idle=30 * SECOND)
+    harness = ControlHarness(max_idle=30 * SECOND)
     for n in range(1000):
-        box.end(box.send(caller=n % callers))
+        harness.end(harness.send(caller=n % callers))
         if n % 100 == 0:
-            box.advance(SECOND, cores=0.5, crowd=0.0)
-    spans = [a.duration for a in box.actions if a.kind is ActionKind.IDLE_LIMIT]
+            harness.advance(SECOND, cores=0.5, crowd=0.0)
+    spans = [a.duration for a in harness.actions if a.kind is ActionKind.IDLE_LIMIT]
     assert (spans[-1] < SECOND) if shortest else spans[-1] > 10 * SECOND
-    box.send(caller=0)
-    assert len(box.control.last_seen) <= MAX_REMEMBERED_CALLERS
+    harness.send(caller=0)
+    assert len(harness.control.last_seen) <= MAX_REMEMBERED_CALLERS
 
 
 def test_connections_are_kept_while_rpcs_are_read_late():
-    box = ControlHarness(max_idle=30 * SECOND)
+    harness = ControlHarness(max_idle=30 * SECOND)
     for unread_time, late in ((0, False), (SECOND, True), (100_000, True), (0, False)):
         for n in range(40):
-            box.send(caller=n, unread_time=unread_time)
-            box.advance(200_000, crowd=0.0)
-        assert (box.control.idle_limit == 30 * SECOND) == late, unread_time
-        box.control.last_seen.last_clear()
+            harness.send(caller=n, unread_time=unread_time)
+            harness.advance(200_000, crowd=0.0)
+        assert (harness.control.idle_limit == 30 * SECOND) == late, unread_time
+        harness.control.last_seen.clear()
 
 
 def test_retry_with_the_timeout_of_a_first_attempt_has_the_age_of_rejected_ones():
-    box = ControlHarness()
+    harness = ControlHarness()
     for _ in range(4):
-        box.send(timeout=SECOND, unread_time=2 * SECOND)  # read too late
-    assert box.send(timeout=3 * SECOND, is_retry=True).target < box.now + SECOND
+        harness.send(timeout=SECOND, unread_time=2 * SECOND)  # read too late
+    assert harness.send(timeout=3 * SECOND, is_retry=True).target < harness.now + SECOND
 
 
 @pytest.mark.parametrize("criticality, runs", [(1.0, False), (10.0, True)])
 def test_critical_rpc_starts_even_if_it_may_just_fit_its_target(criticality, runs):
-    box = ControlHarness(lookup(criticality=criticality), lookup())
-    box.control.run_times[box.methods[0]].add(1000 * SECOND, box.now, 1000)
-    running = box.fill(box.methods[1])
-    rpc = box.send(unread_time=1200_000)
-    box.end(running[0])
-    assert (START in box.did(rpc)) == runs
+    harness = ControlHarness(lookup(criticality=criticality), lookup())
+    harness.control.run_times[harness.methods[0]].add(1000 * SECOND, harness.now, 1000)
+    running = harness.fill(harness.methods[1])
+    rpc = harness.send(unread_time=1200_000)
+    harness.end(running[0])
+    assert (START in harness.did(rpc)) == runs
 
 
 def test_rejection_advises_when_a_slot_is_likely_free():
-    box = ControlHarness()
-    box.fill()
-    rpc = box.send(unread_time=2 * SECOND)
-    assert [0 < a.duration < SECOND for a in box.actions if a.rpc is rpc and a.kind is PUSH_BACK] == [True]
+    harness = ControlHarness()
+    harness.fill()
+    rpc = harness.send(unread_time=2 * SECOND)
+    assert [0 < a.duration < SECOND for a in harness.actions if a.rpc is rpc and a.kind is REJECT] == [True]
 
 
 @pytest.mark.parametrize("cores, narrower", [(0.5, False), (1.0, True)])
 def test_window_signal_narrows_only_at_full_cores(cores, narrower):
-    box = ControlHarness(load_signal=LoadSignal.WINDOW)
-    box.advance(SECOND, cores=0.5)
+    harness = ControlHarness(load_signal=LoadSignal.WINDOW)
+    harness.advance(SECOND, cores=0.5)
     for _ in range(20):
-        box.send(unread_time=2 * SECOND)
-        box.advance(1, cores=cores)
-    assert (box.control.admit_level < 1) == narrower
+        harness.send(unread_time=2 * SECOND)
+        harness.advance(1, cores=cores)
+    assert (harness.control.admit_level < 1) == narrower
 
 
 def test_cores_that_hang_while_reading_are_reported_until_an_rpc_is_read():
-    box = ControlHarness()
-    assert not any(a.kind is ActionKind.HEALTH for a in box.advance(2 * SECOND, crowd=0.0))
-    assert any(a.kind is ActionKind.HEALTH and not a.flag for a in box.advance(3 * SECOND, crowd=2.0))
-    assert START in box.did(box.send())
+    harness = ControlHarness()
+    assert not any(a.kind is ActionKind.HEALTH for a in harness.advance(2 * SECOND, crowd=0.0))
+    assert any(a.kind is ActionKind.HEALTH and not a.flag for a in harness.advance(3 * SECOND, crowd=2.0))
+    assert START in harness.did(harness.send())
 
 
 def test_no_call_is_made_for_an_rpc_that_ended_while_waiting_for_the_call_limit():
-    box = ControlHarness(lookup(), calls_out=1.0)
-    box.advance(4 * SECOND)  # pacing delays the first call
-    first, second = box.fill()
-    box.at_call(first)
-    box.at_call(second)
-    box.disconnect(second)
-    box.end_call(first, Outcome.OK)
-    assert ActionKind.CALL in box.did(first) and ActionKind.CALL not in box.did(second)
+    harness = ControlHarness(lookup(), calls_out=1.0)
+    harness.advance(4 * SECOND)  # the pacer delays the first call
+    first, second = harness.fill()
+    harness.at_call(first)
+    harness.at_call(second)
+    harness.disconnect(second)
+    harness.end_call(first, Outcome.OK)
+    assert ActionKind.CALL in harness.did(first) and ActionKind.CALL not in harness.did(second)
 
 
 @pytest.mark.parametrize("pooling", [None, PoolConfig((Pool("all", 1.0),), (0,))])
 def test_call_limit_below_one_is_kept_on_average(pooling):
-    box = ControlHarness(lookup(), calls_out=0.5, pooling=pooling)
-    box.advance(4 * SECOND)
-    first, second = box.fill()
-    box.at_call(first)
-    before = box.control.call_limit.value
-    box.now += 200_000
-    box.end_call(first, Outcome.OK, spent=200_000)
-    box.at_call(second)
-    pause = 200_000 * (1 - before) / box.control.call_limit.value  # the debt of the first call over the limit now
-    box.advance(int(pause) - 2 * TICK)
-    assert ActionKind.CALL not in box.did(second)
-    box.advance(3 * TICK)
-    assert ActionKind.CALL in box.did(second)
+    harness = ControlHarness(lookup(), calls_out=0.5, pooling=pooling)
+    harness.advance(4 * SECOND)
+    first, second = harness.fill()
+    harness.at_call(first)
+    before = harness.control.call_limit.value
+    harness.now += 200_000
+    harness.end_call(first, Outcome.OK, duration=200_000)
+    harness.at_call(second)
+    pause = 200_000 * (1 - before) / harness.control.call_limit.value  # the debt of the first call over the limit now
+    harness.advance(int(pause) - 2 * TICK)
+    assert ActionKind.CALL not in harness.did(second)
+    harness.advance(3 * TICK)
+    assert ActionKind.CALL in harness.did(second)
 
 
 @pytest.mark.parametrize("share, timeout", [(0.2, 500_000), (40.0, 0)])
 def test_call_timeout_is_bounded_by_the_limit_times_the_averaging_span(share, timeout):
-    box = ControlHarness(lookup(latency_target=5 * SECOND), calls_out=share, call_averaging_span=5 * SECOND)
-    box.advance(30 * SECOND)
-    rpc, _ = box.fill()
-    box.at_call(rpc)
-    (call,) = [action for action in box.actions if action.kind is ActionKind.CALL]
+    harness = ControlHarness(lookup(latency_target=5 * SECOND), calls_out=share, call_averaging_span=5 * SECOND)
+    harness.advance(30 * SECOND)
+    rpc, _ = harness.fill()
+    harness.at_call(rpc)
+    (call,) = [action for action in harness.actions if action.kind is ActionKind.CALL]
     assert call.duration == timeout if timeout else call.duration > SECOND
 
 
 @pytest.mark.parametrize("skip_share, rejected", [(0.0, True), (0.3, False)])
 def test_usual_wait_for_calls_counts_before_a_start_unless_the_call_can_be_skipped(skip_share, rejected):
-    box = ControlHarness(lookup(skip_share=skip_share), calls_out=40.0)
+    harness = ControlHarness(lookup(skip_share=skip_share), calls_out=40.0)
     for _ in range(20):
-        rpc = box.send()
-        box.control.usual_call = 50_000
+        rpc = harness.send()
+        harness.control.usual_call = 50_000
         rpc.off_core_time = 2_200_000  # it waited longer than its target for a call
-        box.now += TICK
-        box.end(rpc)
-    box.fill()
-    queued = box.send()
-    assert (PUSH_BACK in box.did(queued)) is rejected
+        harness.now += TICK
+        harness.end(rpc)
+    harness.fill()
+    queued = harness.send()
+    assert (REJECT in harness.did(queued)) is rejected
 
 
 def test_method_without_criticality_gets_no_rate_and_does_not_break_the_update():
     worthless = lookup(criticality=0.0)
-    box = ControlHarness(lookup(), worthless)
-    box.send(worthless)
-    box.send()
-    box.advance(2 * SECOND)  # the rates are updated
-    assert box.control.clients[None, box.methods[0]].rho > 0 == box.control.clients[None, worthless].rho
+    harness = ControlHarness(lookup(), worthless)
+    harness.send(worthless)
+    harness.send()
+    harness.advance(2 * SECOND)  # the rates are updated
+    assert harness.control.clients[None, harness.methods[0]].rho > 0 == harness.control.clients[None, worthless].rho
     only = ControlHarness(worthless)
     only.send()
     only.advance(2 * SECOND)
@@ -317,232 +318,235 @@
 
 def test_old_cost_is_forgotten_while_other_methods_fill_the_cores():
     quick, slow = lookup(latency_target=8 * SECOND), lookup(latency_target=SECOND)
-    box = ControlHarness(quick, slow)
-    rpc = box.send(slow)
-    box.now += 3 * SECOND
-    box.end(rpc)
-    box.advance(SECOND // 20)
-    box.fill(quick)
-    assert box.did(box.send(slow)) == [PUSH_BACK]
-    box.now += 20 * SECOND
-    assert box.did(box.send(slow)) == []
+    harness = ControlHarness(quick, slow)
+    rpc = harness.send(slow)
+    harness.now += 3 * SECOND
+    harness.end(rpc)
+    harness.advance(SECOND // 20)
+    harness.fill(quick)
+    assert harness.did(harness.send(slow)) == [REJECT]
+    harness.now += 20 * SECOND
+    assert harness.did(harness.send(slow)) == []
 
 
 def test_runs_on_hung_cores_do_not_count_as_costs():
-    box = ControlHarness()
-    running = box.fill()
-    box.advance(3 * SECOND)
+    harness = ControlHarness()
+    running = harness.fill()
+    harness.advance(3 * SECOND)
     for rpc in running:
-        box.end(rpc)
-    assert box.control._usual_cost(box.methods[0]) < SECOND // 10
+        harness.end(rpc)
+    assert harness.control._usual_cost(harness.methods[0]) < SECOND // 10
 
 
 @pytest.mark.parametrize("critical, runs", [(True, True), (False, False)])
 def test_only_the_least_critical_need_a_cost_margin_while_many_rpcs_are_rejected(critical, runs):
-    box = ControlHarness(lookup(latency_target=SECOND), booking(latency_target=SECOND))
-    method = box.methods[critical]
-    rpc = box.send(method)
-    box.now += 1_100_000
-    box.end(rpc)
+    harness = ControlHarness(lookup(latency_target=SECOND), booking(latency_target=SECOND))
+    method = harness.methods[critical]
+    rpc = harness.send(method)
+    harness.now += 1_100_000
+    harness.end(rpc)
     for _ in range(9):
-        box.send(unread_time=2 * SECOND)
-    box.advance(1, cores=1.0)
-    assert (START in box.did(box.send(method))) == runs
+        harness.send(unread_time=2 * SECOND)
+    harness.advance(1, cores=1.0)
+    assert (START in harness.did(harness.send(method))) == runs
 
 
 @pytest.mark.parametrize("memory, queued, started", [(10_000.0, 6, 2), (150.0, 4, 1), (60.0, 5, 0)])
 def test_memory_limits_queued_and_started_rpcs(memory, queued, started):
-    box = ControlHarness(memory=memory)
-    rpcs = [box.send() for _ in range(8)]
-    assert sum(START in box.did(r) for r in rpcs) == started
-    assert box.control.state_counts["held"] == queued
+    harness = ControlHarness(memory=memory)
+    rpcs = [harness.send() for _ in range(8)]
+    assert sum(START in harness.did(r) for r in rpcs) == started
+    assert harness.control.state_counts["held"] == queued
 
 
 @pytest.mark.parametrize("halt, expected", [
     (Halt.NONE, [ABORT]), (Halt.ABORT, [ABORT, HALT]), (Halt.SUSPEND, [ABORT, HALT]),
 ])
 def test_overdue_work_is_halted_if_the_interpreter_can(halt, expected):
-    box = ControlHarness(lookup(kind=MethodKind.NON_IDEMPOTENT), halt=halt)
-    rpc = box.send()
-    box.advance(6 * SECOND)
-    assert box.did(rpc) == [START, *expected]
+    harness = ControlHarness(lookup(kind=MethodKind.NON_IDEMPOTENT), halt=halt)
+    rpc = harness.send()
+    harness.advance(6 * SECOND)
+    assert harness.did(rpc) == [START, *expected]
 
 
 @pytest.mark.parametrize("load_signal, initial, lowered", [
-    (LoadSignal.THRESHOLD, 0.0, lambda value: 0.3 < value <= 0.5), (LoadSignal.WINDOW, 8.0, lambda value: value < 2.0),
+    (LoadSignal.THRESHOLD, 0.0, lambda value: 0.3 < value <= 0.5),
+    (LoadSignal.WINDOW, 8.0, lambda value: value < 2.0),
     (LoadSignal.SHARE, 1.0, lambda value: value < 0.7),
 ])
 def test_every_load_signal_drops_while_the_queue_is_long(load_signal, initial, lowered):
-    box = ControlHarness(lookup(latency_target=SECOND), booking(latency_target=SECOND), load_signal=load_signal)
-    assert [a.value for a in box.advance(SECOND // 20) if a.kind is ActionKind.LOAD_SIGNAL] == [initial]
-    running = box.fill()
+    harness = ControlHarness(lookup(latency_target=SECOND), booking(latency_target=SECOND), load_signal=load_signal)
+    assert [a.value for a in harness.advance(SECOND // 20) if a.kind is ActionKind.LOAD_SIGNAL] == [initial]
+    running = harness.fill()
     for _ in range(40):
         for _ in range(8):
-            box.send(unread_time=200_000)
-        box.advance(SECOND // 20)
-        box.end(running.pop())
-        running = [rpc for rpc in box.start_times if rpc.state == "running"]
-    assert lowered([a.value for a in box.actions if a.kind is ActionKind.LOAD_SIGNAL][-1]) and not box.control.cores_hung
+            harness.send(unread_time=200_000)
+        harness.advance(SECOND // 20)
+        harness.end(running.pop())
+        running = [rpc for rpc in harness.start_times if rpc.state == "running"]
+    assert lowered([a.value for a in harness.actions if a.kind is ActionKind.LOAD_SIGNAL][-1]) and (
+        not harness.control.cores_hung)
 
 
 def test_abandoned_calls_count_while_they_linger():
-    box = ControlHarness(lookup(skip_share=0.3), calls_out=1.0, linger=SECOND // 2)
-    box.advance(4 * SECOND)
-    first, second = box.fill()
-    box.at_call(first)
-    box.end_call(first, Outcome.TIMEOUT)
-    box.disconnect(first)
-    box.at_call(second)
-    box.advance(SECOND // 2 - TICK)
-    assert ActionKind.CALL not in box.did(second)
-    box.advance(SECOND)
-    assert ActionKind.CALL in box.did(second)
+    harness = ControlHarness(lookup(skip_share=0.3), calls_out=1.0, linger=SECOND // 2)
+    harness.advance(4 * SECOND)
+    first, second = harness.fill()
+    harness.at_call(first)
+    harness.end_call(first, Outcome.TIMEOUT)
+    harness.disconnect(first)
+    harness.at_call(second)
+    harness.advance(SECOND // 2 - TICK)
+    assert ActionKind.CALL not in harness.did(second)
+    harness.advance(SECOND)
+    assert ActionKind.CALL in harness.did(second)
 
 
 def test_outermost_class_is_rejected_until_cpu_falls_below_the_lower_threshold():
-    box = ControlHarness()
-    box.fill()
-    queued = [box.send() for _ in range(20)]
-    box.control.clients[None, box.methods[0]].tokens[0] = -100.0
-    assert PUSH_BACK not in box.did(queued[-1])
+    harness = ControlHarness()
+    harness.fill()
+    queued = [harness.send() for _ in range(20)]
+    harness.control.clients[None, harness.methods[0]].tokens[0] = -100.0
+    assert REJECT not in harness.did(queued[-1])
     for cores, rejected in [(0.9, False), (0.96, True), (0.9, True), (0.8, False)]:
-        box.advance(1, cores=cores)
-        assert (PUSH_BACK in box.did(box.send())) == rejected
+        harness.advance(1, cores=cores)
+        assert (REJECT in harness.did(harness.send())) == rejected
 
 
 def test_tenant_beyond_its_quota_gets_a_lower_rate():
     inside, beyond = Tenant(1000.0), Tenant(0.5)
-    box = ControlHarness(tenants=[inside, beyond], over_quota_worth=0.1)
+    harness = ControlHarness(tenants=[inside, beyond], over_quota_worth=0.1)
     for _ in range(300):
         for tenant in (inside, beyond):
-            box.send(tenant=tenant)
-    box.control._update_rates()
-    rates = [box.control.clients[tenant, box.methods[0]].rho for tenant in (inside, beyond)]
+            harness.send(tenant=tenant)
+    harness.control._update_rates()
+    rates = [harness.control.clients[tenant, harness.methods[0]].rho for tenant in (inside, beyond)]
     assert rates[0] > 3 * rates[1] > 0
 
 
 def test_time_of_halted_runs_counts_as_cost():
-    box = ControlHarness(lookup(latency_target=SECOND, deadline=SECOND), lookup())
-    halted, other = box.fill(box.methods[0], 1)[0], box.methods[1]
+    harness = ControlHarness(lookup(latency_target=SECOND, deadline=SECOND), lookup())
+    halted, other = harness.fill(harness.methods[0], 1)[0], harness.methods[1]
     for _ in range(20):
-        rpc = box.send(other)
-        box.advance(SECOND // 20)
-        box.end(rpc)
-    assert HALT in box.did(halted)
-    box.end(halted, Outcome.CANCELLED)
-    assert box.control._usual_cost(box.methods[0]) > SECOND // 2
+        rpc = harness.send(other)
+        harness.advance(SECOND // 20)
+        harness.end(rpc)
+    assert HALT in harness.did(halted)
+    harness.end(halted, Outcome.CANCELLED)
+    assert harness.control._usual_cost(harness.methods[0]) > SECOND // 2
 
 
 @pytest.mark.parametrize("changes", [
     {"cores": 1}, {"halt": Halt.NONE, "max_retry_after": 0}, {"calls_out": 0.2}, {"load_signal": LoadSignal.SHARE}])
 def test_each_of_many_callers_is_answered_once_with_unusual_settings(changes):
-    box = ControlHarness(lookup(), booking(kind=MethodKind.NON_IDEMPOTENT), **changes)
-    sent = [box.send(box.methods[n % 2], caller=n) for n in range(100)]
-    box.advance(SECOND)
+    harness = ControlHarness(lookup(), booking(kind=MethodKind.NON_IDEMPOTENT), **changes)
+    sent = [harness.send(harness.methods[n % 2], caller=n) for n in range(100)]
+    harness.advance(SECOND)
     for rpc in sent:
-        if START in box.did(rpc) and rpc.state == "running":
-            box.end(rpc)
-    box.advance(8 * SECOND)
+        if START in harness.did(rpc) and rpc.state == "running":
+            harness.end(rpc)
+    harness.advance(8 * SECOND)
     assert all(rpc.state == "over" or rpc.answered for rpc in sent)
-    assert all(box.did(rpc).count(START) <= 1 for rpc in sent)
-    assert all(PUSH_BACK not in box.did(rpc) for rpc in sent[1::2] if rpc.ran)
+    assert all(harness.did(rpc).count(START) <= 1 for rpc in sent)
+    assert all(REJECT not in harness.did(rpc) for rpc in sent[1::2] if rpc.ran)
 
 
 @pytest.mark.parametrize("tier, calls_out, paused", [(False, 0.0, True), (True, 0.0, False), (False, 4.0, False)])
 def test_calls_to_a_downstream_tier_without_a_share_are_not_paused(tier, calls_out, paused):
-    box = ControlHarness(lookup(), calls_out=calls_out, downstream_tier=tier)
-    first, second = box.fill()
-    box.at_call(first)
-    box.end_call(first, Outcome.OK, spent=200_000)
-    box.at_call(second)
-    assert (ActionKind.CALL not in box.did(second)) is paused
+    harness = ControlHarness(lookup(), calls_out=calls_out, downstream_tier=tier)
+    first, second = harness.fill()
+    harness.at_call(first)
+    harness.end_call(first, Outcome.OK, duration=200_000)
+    harness.at_call(second)
+    assert (ActionKind.CALL not in harness.did(second)) is paused
 
 
 @pytest.mark.parametrize("time_left, until_due", [(3 * SECOND, False), (SECOND // 5, True)])
 def test_call_that_cannot_end_before_the_target_may_take_until_the_due_time(time_left, until_due):
-    box = ControlHarness(lookup(latency_target=SECOND, deadline=6 * SECOND), calls_out=4.0)
-    warm = box.send()
-    box.at_call(warm)
-    box.end_call(warm, Outcome.OK, spent=100_000)
-    box.end(warm)
-    rpc = box.send(timeout=0)
-    rpc.target = box.now + time_left
-    box.at_call(rpc)
-    timeout = [a.duration for a in box.actions if a.rpc is rpc and a.kind is ActionKind.CALL][0]
+    harness = ControlHarness(lookup(latency_target=SECOND, deadline=6 * SECOND), calls_out=4.0)
+    warm = harness.send()
+    harness.at_call(warm)
+    harness.end_call(warm, Outcome.OK, duration=100_000)
+    harness.end(warm)
+    rpc = harness.send(timeout=0)
+    rpc.target = harness.now + time_left
+    harness.at_call(rpc)
+    timeout = [a.duration for a in harness.actions if a.rpc is rpc and a.kind is ActionKind.CALL][0]
     assert (timeout > time_left) is until_due
 
 
 @pytest.mark.parametrize("hint, rejected", [(100_000, False), (4_000_000, True)])
 def test_rejects_rpc_whose_work_hint_does_not_fit_its_target(hint, rejected):
-    box = ControlHarness(lookup(latency_target=2 * SECOND))
+    harness = ControlHarness(lookup(latency_target=2 * SECOND))
     for _ in range(4):  # runs take as long as their hints
-        rpc = box.send(work_hint=200_000)
-        box.now += 200_000
-        box.end(rpc)
-    box.fill()
-    rpc = box.send(work_hint=hint)
-    assert (PUSH_BACK in box.did(rpc)) is rejected
+        rpc = harness.send(work_hint=200_000)
+        harness.now += 200_000
+        harness.end(rpc)
+    harness.fill()
+    rpc = harness.send(work_hint=hint)
+    assert (REJECT in harness.did(rpc)) is rejected
 
 
 @pytest.mark.parametrize("per_work, equal", [(False, False), (True, True)])
 def test_criticality_per_work_gives_long_and_short_methods_the_same_value_of_core_time(per_work, equal):
     short, long = lookup(latency_target=8 * SECOND), lookup(latency_target=8 * SECOND)
-    box = ControlHarness(short, long, criticality_per_work=per_work)
+    harness = ControlHarness(short, long, criticality_per_work=per_work)
     for method, cost in ((short, 50_000), (long, 800_000)):
         for _ in range(6):
-            rpc = box.send(method)
-            box.now += cost
-            box.end(rpc)
+            rpc = harness.send(method)
+            harness.now += cost
+            harness.end(rpc)
     for _ in range(400):  # of both methods far more than the cores can take
-        box.send(short)
-        box.send(long)
-    box.advance(SECOND)
-    rates = {c.method: c.rho / c.arrivals.read(box.now) for c in box.control.clients.values()}
+        harness.send(short)
+        harness.send(long)
+    harness.advance(SECOND)
+    rates = {c.method: c.rho / c.arrivals.read(harness.now) for c in harness.control.clients.values()}
     assert (rates[long] > 0.8 * rates[short]) is equal
 
 
 def test_run_limit_grows_while_cores_idle_and_decays_under_load():
-    box = ControlHarness(cores=2)
-    box.fill(count=12)
-    box.advance(SECOND // 5, cores=0.5, crowd=1.0)  # the runs wait for disk
-    grown = box.control.run_limit
-    assert grown >= 5 and box.control.state_counts["held"] > 0
-    box.advance(SECOND, cores=1.0, crowd=6.0)
-    assert box.control.state_counts["held"] > 0 and 2 <= box.control.run_limit < 2 + (grown - 2) * 0.5
+    harness = ControlHarness(cores=2)
+    harness.fill(count=12)
+    harness.advance(SECOND // 5, cores=0.5, crowd=1.0)  # the runs wait for disk
+    grown = harness.control.run_limit
+    assert grown >= 5 and harness.control.state_counts["held"] > 0
+    harness.advance(SECOND, cores=1.0, crowd=6.0)
+    assert harness.control.state_counts["held"] > 0 and 2 <= harness.control.run_limit < 2 + (grown - 2) * 0.5
 
 
 @pytest.mark.parametrize("retries, redirected", [(0, 21), (90, 1)])
 def test_rejections_advise_a_retry_elsewhere_unless_peers_are_overloaded_too(retries, redirected):
-    box = ControlHarness(lookup(latency_target=SECOND // 2), memory=200.0)
+    harness = ControlHarness(lookup(latency_target=SECOND // 2), memory=200.0)
     for n in range(90):
-        box.send(is_retry=n < retries)
-    flags = [a.flag for a in box.actions if a.kind is PUSH_BACK]  # without marked retries a quarter may retry elsewhere
+        harness.send(is_retry=n < retries)
+    # without marked retries a quarter of the rejected RPCs may retry elsewhere
+    flags = [a.flag for a in harness.actions if a.kind is REJECT]
     assert len(flags) > 80 and flags[-1] and abs(flags.count(False) - redirected) <= 3
 
 
 @pytest.mark.parametrize("hint, healthy", [(4 * SECOND, True), (SECOND // 10, False)])
 def test_long_run_announced_by_its_hint_is_no_hang(hint, healthy):
-    box = ControlHarness(lookup(latency_target=SECOND, deadline=90 * SECOND))
+    harness = ControlHarness(lookup(latency_target=SECOND, deadline=90 * SECOND))
     for _ in range(3):  # runs take as long as their hints
-        quick = box.send(work_hint=SECOND // 10)
-        box.now += SECOND // 10
-        box.end(quick)
-    box.send(work_hint=hint)
-    box.advance(3 * SECOND, cores=0.5, crowd=1.0)
-    assert box.control.healthy is healthy
+        quick = harness.send(work_hint=SECOND // 10)
+        harness.now += SECOND // 10
+        harness.end(quick)
+    harness.send(work_hint=hint)
+    harness.advance(3 * SECOND, cores=0.5, crowd=1.0)
+    assert harness.control.healthy is healthy
 
 
 @pytest.mark.parametrize("with_tenant, level, starts", [(True, 1, True), (True, 2, False), (False, 1, False)])
 def test_rpc_within_its_quota_needs_no_margin_and_may_retry_elsewhere_under_rejection(with_tenant, level, starts):
     tenant = Tenant(10.0) if with_tenant else None
-    box = ControlHarness(lookup(latency_target=SECOND), tenants=[tenant] if with_tenant else [], memory=400.0)
+    harness = ControlHarness(lookup(latency_target=SECOND), tenants=[tenant] if with_tenant else [], memory=400.0)
     for _ in range(20):
-        box.control.run_times[box.methods[0]].add(9 * SECOND // 10, box.now)
+        harness.control.run_times[harness.methods[0]].add(9 * SECOND // 10, harness.now)
     for _ in range(5):  # no memory for these: many are rejected, here and elsewhere
-        box.send(tenant=tenant, size=500.0, is_retry=True)
-        box.now += 2 * SECOND
-    sent = [box.send(tenant=tenant, size=500.0, is_retry=True) for _ in range(60)]
+        harness.send(tenant=tenant, size=500.0, is_retry=True)
+        harness.now += 2 * SECOND
+    sent = [harness.send(tenant=tenant, size=500.0, is_retry=True) for _ in range(60)]
     rpc = next(rpc for rpc in sent[1:] if (rpc.level == 1) is (level == 1))
-    rpc.target = box.now + 8 * SECOND // 10
-    assert box.control._misses_target(rpc) is not starts
-    assert [a.flag for a in box.actions if a.rpc is rpc] == [not starts]
+    rpc.target = harness.now + 8 * SECOND // 10
+    assert harness.control._misses_target(rpc) is not starts
+    assert [a.flag for a in harness.actions if a.rpc is rpc] == [not starts]
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""Without pools the decision module takes the recorded decisions: the hash of all actions of a scene is compared."""
+"""Without pools the decision module takes the same decisions as recorded: compares hashes of all actions of a scene."""
 import json
 import pathlib
 
@@ -8,19 +8,20 @@
 from hollystage.standins.scenes import SCENES, SceneSimulation
 
 RECORDED = json.loads((pathlib.Path(__file__).parent / "corpus" / "traces.json").read_text())
-CHANGES = {"plain": {}, "cold": {"cold": True, "cold_from": 0.4, "warm_after": 9_000_000, "load_signal": LoadSignal.THRESHOLD},
+CHANGES = {"plain": {},
+           "cold": {"cold": True, "cold_from": 0.4, "warm_after": 9_000_000, "load_signal": LoadSignal.THRESHOLD},
            "narrow": {"calls_out": 2.0, "memory": 2500.0, "load_signal": LoadSignal.WINDOW, "max_idle": 20_000_000},
            "wide": {"load": 2.5, "load_signal": LoadSignal.SHARE}}
 
 
-def trace(scenario, change):
-    return SceneSimulation(scenario, 7, **{"seconds": 24} | CHANGES[change]).run().trace_hash.hexdigest()
+def trace(scene, change):
+    return SceneSimulation(scene, 7, **{"seconds": 24} | CHANGES[change]).run().trace_hash.hexdigest()
 
 
 @pytest.mark.parametrize("name", RECORDED)
 def test_actions_match_the_recorded_trace(name):
-    scenario, change = name.split("/")
-    assert trace(scenario, change) == RECORDED[name]
+    scene, change = name.split("/")
+    assert trace(scene, change) == RECORDED[name]
 
 
 def test_trace_depends_on_the_seed_and_not_on_the_run():
