--- a/hollystage/control.py
+++ b/hollystage/control.py
@@ -1,9 +1,9 @@
 """Admission control and scheduling of one server instance, together with `policy`.
 
 An adapter creates one Control for each process and reports events to it with the current time: arrived,
-finished, at_call, call_finished, caller_disconnected, start_drain, tick. After each batch of events decide()
-returns the actions to carry out, in order. The types are in `interface`; all times are microseconds. The
-mechanism and each departure from it are described in docs/design.md.
+finished, at_call, call_finished, caller_disconnected, start_drain, tick. After each batch of events it calls
+decide(), which returns the actions to carry out, in order. The types are in `interface`; all times are in
+microseconds. docs/design.md describes the mechanism and where it departs from the paper that it follows.
 """
 from __future__ import annotations
 
@@ -15,13 +15,17 @@
 from .policy.buckets import *
 from .policy.lifecycle import Lifecycle
 
-# largest load signal of LoadSignal.WINDOW as a multiple of the cores: usual; while RPCs lie unread
-MAX_WINDOW_FACTOR, NARROW_WINDOW_FACTOR = 4.0, 0.75
-LONG_QUEUE_SHARE = 0.25  # share of a target that the queueing time may reach before callers are asked to send less
-MAX_REMEMBERED_CALLERS, MIN_IDLE_LIMIT = 4096, 10_000  # callers remembered; shortest idle limit of connections, microseconds
-# share of the longest target that RPCs lie unread: above the first value connections are kept even if the
-# table of connections fills up, until the share falls below the second
-READING_LATE_ABOVE, READING_LATE_UNTIL = 0.3, 0.01
+# largest value of the load signal WINDOW, as a multiple of the cores
+MAX_WINDOW_FACTOR = 4.0
+NARROW_WINDOW_FACTOR = 0.75  # the same while RPCs lie unread
+# share of a latency target that the queueing time may reach before callers are asked to send less
+LONG_QUEUE_SHARE = 0.25
+MAX_REMEMBERED_CALLERS = 4096
+MIN_IDLE_LIMIT = 10_000  # shortest idle limit of connections, microseconds
+# shares of the longest latency target that RPCs lie unread: above the first one connections are kept, even if
+# the table of connections fills up, until the share falls below the second one
+READING_LATE_ABOVE = 0.3
+READING_LATE_UNTIL = 0.01
 
 
 class Control(Lifecycle):
@@ -36,7 +40,7 @@
         # congruential generator
         jitter = (seed * 6364136223846793005 + 1442695040888963407 & (1 << 64) - 1) >> 33
         self.actions.append(Action(ActionKind.TIMER, duration=1 + (jitter * TICK >> 31)))
-        # and for their first downstream calls, over the time that one is assumed to take before any was made
+        # the same for their first downstream calls, over the duration assumed before any call was made
         self.pacer.debt = float(jitter * (self.min_target // 2) >> 31)
 
     # Events
@@ -52,26 +56,30 @@
         self.likely_retries.add(rpc.is_retry or rpc.target < read_at + method.latency_target, now)
         client = self.clients.get((rpc.tenant, method))
         if client is None:
-            rho = INITIAL_RATE * self.settings.cores / len(self.settings.methods) / max(1, len(self.settings.tenants))
+            rho = (INITIAL_RATE * self.settings.cores / len(self.settings.methods)
+                   / max(1, len(self.settings.tenants)))
             client = self.clients[rpc.tenant, method] = Client(rpc.tenant, method, rho, now)
         client.arrivals.add(1, now)
         if not self.state_counts[RUNNING]:
             self._note_progress()  # so that cores that hang while reading are detected too
         self.rejections.add(0, now)
         self.redirects.add(0, now)
-        self.returning_callers.add(now - self.last_seen.get(rpc.caller, -self.settings.max_idle) < self.settings.max_idle, now)
+        self.returning_callers.add(
+            now - self.last_seen.get(rpc.caller, -self.settings.max_idle) < self.settings.max_idle, now)
         if len(self.last_seen) > MAX_REMEMBERED_CALLERS:
             self.last_seen.clear()  # bounds the memory where callers reconnect under new numbers
         self.last_seen[rpc.caller] = now
         self.unread_times.add(rpc.unread_time, now)
         rpc.level = client.classify(now)
-        rpc.promised = self.calendar is not None and self.calendar.redeem(rpc.caller, self.method_numbers[method], now)
+        rpc.promised = self.calendar is not None and self.calendar.redeem(
+            rpc.caller, self.method_numbers[method], now)
         if rpc.promised:
             rpc.level = 1
         # class spacing: the more critical a method, the smaller the finish tags of its first class
-        rpc.tag = read_at + int(client.deltas[rpc.level - 1] * (self.criticality_factor[method] if rpc.level == 1 else 1))
+        rpc.tag = read_at + int(
+            client.deltas[rpc.level - 1] * (self.criticality_factor[method] if rpc.level == 1 else 1))
         if rpc.promised:
-            rpc.tag = read_at + (rpc.tag - read_at) // 4  # capacity was reserved: ahead of others of its class
+            rpc.tag = read_at + (rpc.tag - read_at) // 4  # capacity is reserved for it: ahead of its class
         self._push(self.due_queue, rpc.due, rpc)
         rpc.pool_ref = self.pools.pool_ref(self.method_numbers[method]) if self.pools is not None else None
         rpc.lifecycle = self._run(rpc)
@@ -81,7 +89,7 @@
         """A run or a joined run ended, `spent` microseconds after its start."""
         self.now = now
         self._note_progress()
-        # runs on hung cores are no measure of costs; halted runs do count, since they are the long ones
+        # runs on hung cores say nothing about costs; halted runs do count, since they are the long ones
         if rpc.state == RUNNING and outcome != Outcome.MOOT and now - spent >= self.hang_ended_at:
             self.run_times[rpc.method].add(max(1, spent - rpc.off_core_time), now, outcome == Outcome.OK)
             self.off_core_times[rpc.method].add(rpc.off_core_time, now)
@@ -102,16 +110,17 @@
         odd = spent > SLOW_CALL_FACTOR * usual > 0 if ok else outcome in REPLY_LOST
         self.odd_replies.add(odd, now, outcome != Outcome.CANCELLED)
         if ok:
-            # follows increases slowly and decreases quickly: the duration of a call when nothing is wrong
+            # rises slowly and falls quickly, to estimate the duration of a call when nothing is wrong
             self.usual_call += (spent - usual) * ((0.02 if spent > usual else 0.2) if usual else 1)
         elif outcome == Outcome.TIMEOUT:
             heappush(self.lingering_calls, now + self.settings.linger)
         bad = not self._few_odd_replies() if odd else outcome not in (Outcome.OK, Outcome.CANCELLED)
-        # keeps all instances together from overloading the dependency, whatever made the calls slow
+        # the limit keeps all instances together from overloading the dependency, whatever makes calls slow
         calls = self.state_counts[CALLING] + len(self.lingering_calls)
-        self.call_limit.on_call_end(ended := CallResult(outcome, spent, calls, self.usual_call, odd, bad, now))
+        self.call_limit.on_call_end(
+            result := CallResult(outcome, spent, calls, self.usual_call, odd, bad, now))
         if self.pools is not None:
-            self.pools.on_call_end(rpc, ended)
+            self.pools.on_call_end(rpc, result)
         self._resume(rpc, outcome)
 
     def caller_disconnected(self, rpc: Rpc, now: int) -> None:
@@ -133,33 +142,33 @@
                     rpc.pool_ref = self.pools.pool_ref(self.method_numbers[rpc.method])
                 self._enqueue(self.run_queues if rpc.state == QUEUED else self.call_queues, rpc)
 
-    def start_drain(self, left: int, now: int) -> None:
-        """Starts the drain: the process is killed in `left` microseconds."""
-        self.now, self.stop_at, self.grace_ends_at = now, now + left, now + self.settings.drain_grace
+    def start_drain(self, time_left: int, now: int) -> None:
+        """Starts the drain: the process is killed in `time_left` microseconds."""
+        self.now, self.stop_at, self.grace_ends_at = now, now + time_left, now + self.settings.drain_grace
         for _, _, rpc in self.due_queue:
             rpc.due = min(rpc.due, self.stop_at - 3 * TICK)
         self.due_queue = sorted((rpc.due, n, rpc) for _, n, rpc in self.due_queue)
 
     def tick(self, gauges: dict[str, float], now: int) -> None:
-        """The timer fired; `gauges`: latest values of the configured gauges, empty if they are outdated."""
+        """The timer fired. `gauges`: latest values of the configured gauges; empty if they are outdated."""
         self.now = now
         if self.stall_detector.on_timer(now, TICK):
             self.call_limit.on_stall(now)
         running, queued = self.state_counts[RUNNING], self.state_counts[QUEUED]
         busy = self.cpu_busy = gauges.get("cores", min(1.0, running / self.settings.cores))
-        crowd = gauges.get("crowd", float(running))
-        if queued and busy < HIGH_CPU and crowd < self.settings.cores and not self.cores_hung:
+        runnable = gauges.get("crowd", float(running))
+        if queued and busy < HIGH_CPU and runnable < self.settings.cores and not self.cores_hung:
             self.run_limit += 1
         else:
-            # more runs than keep the cores busy only slow each other down, and above some unknown number
-            # throughput falls; does harm where runs wait for disk too briefly for the gauge to show it
+            # more runs than keep the cores busy only slow each other down, and above an unknown number
+            # throughput falls; harmful where runs wait for disk too briefly for the gauge to show it
             self.run_limit -= (self.run_limit - self.settings.cores) * 0.05
         self.run_limit = max(float(self.settings.cores), min(self.run_limit, self._max_in_progress()))
         if self.pools is not None:
             self.pools.max_in_progress = self._max_in_progress()
-        self.other_runnable += (max(0.0, crowd - running) - self.other_runnable) * 0.2
+        self.other_runnable += (max(0.0, runnable - running) - self.other_runnable) * 0.2
         self.under_pressure = busy >= (LOW_CPU if self.under_pressure else HIGH_CPU) and queued > 0
-        self._detect_hang(crowd)
+        self._detect_hang(runnable)
         self._update_health()
         self._expire_rpcs()
         if now - self.rates_updated_at > 10 * TICK:
@@ -177,8 +186,8 @@
         """Starts runs and calls that there is capacity for, and returns all new actions in order."""
         self.now = now
         self._dispatch()
-        out, self.actions = self.actions, []
-        return out
+        actions, self.actions = self.actions, []
+        return actions
 
     def _note_progress(self) -> None:
         """Records that the cores made progress, which ends a hang."""
@@ -189,12 +198,14 @@
         """Detects cores that make no progress and drops the RPCs that may be answered elsewhere."""
         if self.cores_hung or not self.state_counts[RUNNING] and runnable < 1:
             self.progress_at = self.now
-        elif self.now - self.progress_at > max(self.max_target, HANG_FACTOR * max(map(self._usual_cost, self.run_times))) and (
-                self.now - self.progress_at > HANG_FACTOR / 2 * max((self._expected_work(r) for _, _, r in self.due_queue
-                                                           if r.work_hint and r.state == RUNNING), default=0.0)):
-            # cores that take work and finish none count as hung; does harm where single RPCs run this long
-            # (at least the longest target, since on small or cold machines one long run, or a cost that is
-            # not learned yet, looks like a hang)
+        elif self.now - self.progress_at > max(
+                self.max_target, HANG_FACTOR * max(map(self._usual_cost, self.run_times))) and (
+                self.now - self.progress_at > HANG_FACTOR / 2 * max(
+                    (self._expected_work(r) for _, _, r in self.due_queue
+                     if r.work_hint and r.state == RUNNING), default=0.0)):
+            # cores that take work and finish none count as hung; harmful where single RPCs run this long. The
+            # span is at least the longest target: on small or cold machines one long run, or a cost that is
+            # not learned yet, looks like a hang
             self.cores_hung = True
             for _, _, rpc in list(self.due_queue):
                 may_repeat = rpc.state == RUNNING and rpc.method.kind is MethodKind.IDEMPOTENT
@@ -202,13 +213,13 @@
                     self._resume(rpc, DROP)
 
     def _update_health(self) -> None:
-        """Reports a change of health."""
+        """Reports the health of the instance if it changed."""
         if self.healthy is bool(self.stop_at or self.cores_hung):
             self.healthy = not self.healthy
             self.actions.append(Action(ActionKind.HEALTH, flag=self.healthy))
 
     def _expire_rpcs(self) -> None:
-        """Ends overdue RPCs and queued ones that miss their target; skips calls that would be too late."""
+        """Ends overdue RPCs and queued ones that would miss their target; skips calls that come too late."""
         while self.due_queue and self.due_queue[0][0] <= self.now + TICK:
             rpc = heappop(self.due_queue)[2]
             if not rpc.answered and rpc.state != DONE:
@@ -217,27 +228,32 @@
             if rpc.state == QUEUED and self._misses_target(rpc):
                 self._resume(rpc, DROP)
         for _, _, rpc in [row for queue in self.call_queues for row in queue]:
-            if rpc.state == WAITING and not rpc.answered and self._time_for_call(rpc) < 0 < rpc.method.skip_share:
+            if rpc.state == WAITING and not rpc.answered and (
+                    self._time_for_call(rpc) < 0 < rpc.method.skip_share):
                 self._resume(rpc, SKIP)
 
     def _update_rates(self) -> None:
-        """Divides the capacity, run_limit runs at their usual costs, between the clients: sets their rho."""
+        """Sets the rho of each client: its part of the capacity, which is `run_limit` runs at usual costs."""
         needs: list[tuple[Client, float, float, float]] = []
         arrivals: dict[Tenant | None, float] = {}
         for client in self.clients.values():
             arrivals[client.tenant] = arrivals.get(client.tenant, 0) + client.arrivals.read(self.now)
         for client in self.clients.values():
-            rate, cost = client.arrivals.read(self.now) * 1e6 / DECAY_SPAN, self._usual_cost(client.method) / 1e6
-            quota = client.tenant.quota_per_s / self.settings.peers * DECAY_SPAN / 1e6 if client.tenant else 0.0
+            rate, cost = (
+                client.arrivals.read(self.now) * 1e6 / DECAY_SPAN, self._usual_cost(client.method) / 1e6)
+            quota = (client.tenant.quota_per_s / self.settings.peers * DECAY_SPAN / 1e6
+                     if client.tenant else 0.0)
             within = min(1.0, quota / arrivals[client.tenant]) if quota and arrivals[client.tenant] else 1.0
-            # RPCs beyond a tenant's quota cannot be told from the others: each counts with the mean value
+            # RPCs beyond a tenant's quota are not marked: each RPC of the tenant counts with the mean value
             value = client.method.criticality * (within + (1 - within) * self.settings.over_quota_worth)
-            value *= cost if self.settings.criticality_per_work else 1  # value of core time independent of the cost
+            # per work: a second on the cores has the same value whatever an RPC costs
+            value *= cost if self.settings.criticality_per_work else 1
             # twice the rate, since the rate of a few RPCs a second is a noisy sample
             needs.append((client, 2 * rate * cost + 0.01, value / cost, cost))
         rates = dict.fromkeys(self.clients.values(), 0.0)
         capacity = self.run_limit
-        # water-filling: nearly a strict order where criticality differs much, else nearly equal shares
+        # water-filling: almost a strict priority order where criticality differs much, almost equal shares
+        # where it hardly differs
         while capacity > 1e-3 and (total := sum(need * density ** 2 for _, need, density, _ in needs)) > 0:
             part = min(capacity / total, 1 / max(density for _, _, density, _ in needs) ** 2)
             for client, need, density, cost in needs:
@@ -251,42 +267,51 @@
             method_rates = {method: 0.0 for method in self.method_numbers}
             for client in self.clients.values():
                 method_rates[client.method] += client.arrivals.read(self.now) * 1e6 / DECAY_SPAN
-            costs = {m: self._usual_cost(m) + self.off_core_times[m].mean(self.now, weight=1) for m in method_rates}
-            self.pools.update_cheapest([(self.method_numbers[m], rate, costs[m]) for m, rate in method_rates.items()], self.run_limit)
+            costs = {m: self._usual_cost(m) + self.off_core_times[m].mean(self.now, weight=1)
+                     for m in method_rates}
+            self.pools.update_cheapest(
+                [(self.method_numbers[m], rate, costs[m]) for m, rate in method_rates.items()],
+                self.run_limit)
 
     def _update_idle_limit(self) -> None:
         """Adapts how long idle connections are kept."""
         # keeps the table of connections from overflowing: where few RPCs come from callers that were seen
-        # lately, a kept connection is seldom used again; does harm where callers come in bursts. A full table
-        # refuses attempts unread, which costs something, but less than reading RPCs that are too late
-        self.reading_late = self.unread_times.mean(self.now) > (READING_LATE_UNTIL if self.reading_late else READING_LATE_ABOVE) * self.max_target
-        factor = 1.0 if self.reading_late else min(1.0, 1.25 * self.returning_callers.mean(self.now, 1, 1)) ** 12
+        # recently, a kept connection is seldom used again; harmful where callers come in bursts. A full table
+        # refuses attempts unread, which has a cost, but a smaller one than reading RPCs that are too late
+        self.reading_late = self.unread_times.mean(self.now) > (
+            READING_LATE_UNTIL if self.reading_late else READING_LATE_ABOVE) * self.max_target
+        factor = (1.0 if self.reading_late
+                  else min(1.0, 1.25 * self.returning_callers.mean(self.now, 1, 1)) ** 12)
         limit = max(MIN_IDLE_LIMIT, int(self.settings.max_idle * factor))
         if self.settings.max_idle and abs(limit - self.idle_limit) > 0.2 * self.idle_limit:
             self.idle_limit = limit
             self.actions.append(Action(ActionKind.IDLE_LIMIT, duration=limit))
 
     def _update_load_signal(self) -> None:
-        """Updates the load signal: lowers what callers may send while the queue is long."""
+        """Updates the load signal, so that callers send less while the queue is long."""
         if self.settings.load_signal is LoadSignal.NONE:
             return
-        wait = sum(self._usual_cost(r.method) for queue in self.run_queues[:len(self.run_queues) - 1 or 1] for _, _, r in queue
-                   if r.state == QUEUED) / self.run_limit
-        # a threshold keeps out the least critical RPCs first and may wait for the longest target; the other
-        # kinds of signal affect all methods
+        wait = sum(self._usual_cost(r.method) for queue in self.run_queues[:len(self.run_queues) - 1 or 1]
+                   for _, _, r in queue if r.state == QUEUED) / self.run_limit
+        # a threshold keeps out the least critical RPCs first, so its bound may follow the longest target; the
+        # other kinds of signal affect all methods
         threshold = self.settings.load_signal is LoadSignal.THRESHOLD
         bound = LONG_QUEUE_SHARE * (self.max_target if threshold else self.min_target)
-        # a window or a share keeps out RPCs of every criticality, which pays only if the cores are full and
-        # reading uses a part of them; a short queue is no sign of capacity where most RPCs are rejected
-        reading_costly = self.cpu_busy > HIGH_CPU and (self._reading_lags() or self.other_runnable > READING_CORE_SHARE * self.settings.cores)
-        lower = (threshold or reading_costly) and (wait > bound or self._rejects_more_than(FLOOD_REJECT_SHARE))
+        # a window or a share keeps out RPCs of every criticality; worth it only if the cores are full and
+        # reading uses a part of them. A short queue is no sign of capacity while most RPCs are rejected
+        reading_costly = self.cpu_busy > HIGH_CPU and (
+            self._reading_lags() or self.other_runnable > READING_CORE_SHARE * self.settings.cores)
+        lower = (threshold or reading_costly) and (
+            wait > bound or self._rejects_more_than(FLOOD_REJECT_SHARE))
         self.admit_level = max(0.02, self.admit_level * 0.95) if lower else min(1.0, self.admit_level * 1.03)
         level = 0.0 if self.cores_hung or self.stop_at else self.admit_level
-        window = level * self.settings.cores * (NARROW_WINDOW_FACTOR if self._reading_lags() else MAX_WINDOW_FACTOR)
-        # ranks form one band of equal width for each method: RPCs in the band of the most critical method are
-        # rejected here instead of being kept out
+        window = level * self.settings.cores * (
+            NARROW_WINDOW_FACTOR if self._reading_lags() else MAX_WINDOW_FACTOR)
+        # ranks from 0 to 1 are divided into equal bands, one for each method: the threshold stays below the
+        # band of the most critical method, whose RPCs are rejected here instead of being kept out
         highest = 1 - 1 / len(self.settings.methods) if level else 1.0
-        value = {LoadSignal.THRESHOLD: min(highest, 1 - level), LoadSignal.WINDOW: window}.get(self.settings.load_signal, level)
+        value = {LoadSignal.THRESHOLD: min(highest, 1 - level),
+                 LoadSignal.WINDOW: window}.get(self.settings.load_signal, level)
         if abs(value - self.sent_signal) > 0.03 * max(self.sent_signal, 0.1):
             self.sent_signal = value
             self.actions.append(Action(ActionKind.LOAD_SIGNAL, value=value))
@@ -298,20 +323,22 @@
         deferred: list[Rpc] = []
         max_calls = self.pacer.allowed(self.call_limit.value, self.now)
         while self.now >= self.next_call_at and (
-                queue := self._next_queue(self.call_queues, WAITING, max_calls, self.state_counts[CALLING] + len(self.lingering_calls))):
+                queue := self._next_queue(self.call_queues, WAITING, max_calls,
+                                          self.state_counts[CALLING] + len(self.lingering_calls))):
             rpc = heappop(queue)[2]
             if self.pools is None or self.pools.may_call(rpc, self.now):
                 self._resume(rpc, GO)
             else:
                 deferred.append(rpc)
-        for rpc in deferred:  # retries that the retry budget does not allow
+        for rpc in deferred:  # retries of calls that the retry budget does not allow
             rpc.uses_reserve = False
             if rpc.method.skip_share > 0:
                 self._resume(rpc, SKIP)
             else:
                 self._enqueue(self.call_queues, rpc)
         self.pacer.in_flight = self.state_counts[CALLING] + len(self.lingering_calls)
-        while not self.cores_hung and (queue := self._next_queue(self.run_queues, QUEUED, self._effective_run_limit(), self.state_counts[RUNNING])):
+        while not self.cores_hung and (queue := self._next_queue(
+                self.run_queues, QUEUED, self._effective_run_limit(), self.state_counts[RUNNING])):
             rpc = queue[0][2]
             in_progress = self.state_counts[RUNNING] + self.state_counts[CALLING] + self.state_counts[WAITING]
             if in_progress + 1 > self._max_in_progress():
@@ -319,5 +346,6 @@
             if self._memory_used() + rpc.size * (self.settings.run_factor - 1) > self.settings.memory * 0.95:
                 break
             heappop(queue)
-            idle = rpc.state_since == self.now and self.state_counts[QUEUED] == 1 and self._has_idle_cores() or self._has_own_slot(rpc)
+            idle = (rpc.state_since == self.now and self.state_counts[QUEUED] == 1 and self._has_idle_cores()
+                    or self._has_own_slot(rpc))
             self._resume(rpc, START if idle or not self._misses_target(rpc) else DROP)
--- a/hollystage/policy/lifecycle.py
+++ b/hollystage/policy/lifecycle.py
@@ -13,7 +13,7 @@
     """Carries each RPC from its arrival to its end."""
 
     def _run(self, rpc: Rpc) -> Generator[Action | None, Any, None]:
-        """Yields the next action for the RPC, or None to wait; `_resume` sends it events and outcomes."""
+        """Yields the actions for the RPC, and None to wait; `_resume` sends in events and outcomes."""
         method = rpc.method
         keyed = method.kind is MethodKind.KEYED
         if rpc.earlier is not None and rpc.earlier.ran:
@@ -30,7 +30,7 @@
             yield self._reject(rpc, last=last)
             return
         if rpc.earlier is not None and rpc.earlier.state == QUEUED and keyed:
-            # the newer attempt replaces the queued one, which its caller has most likely given up
+            # the newer attempt replaces the queued one, which the caller has most likely given up
             rpc.tag = min(rpc.tag, rpc.earlier.tag)
             self.live_keys.discard(rpc.earlier)
             self._resume(rpc.earlier, DROP)
@@ -55,16 +55,17 @@
             if event is AT_CALL and not rpc.answered:
                 event = yield from self._make_calls(rpc)
                 continue
-            # an RPC that ran is rejected only if it may run again; work is halted unless a repeat may join it
+            # an RPC that ran is rejected only if it may run again; halted unless a repeat may join its run
             if not rpc.answered and event is not GONE:
                 may_repeat = event is DROP and method.kind is MethodKind.IDEMPOTENT
-                self.actions.append(self._reject(rpc, last=False) if may_repeat else Action(ActionKind.ABORT, rpc))
+                self.actions.append(
+                    self._reject(rpc, last=False) if may_repeat else Action(ActionKind.ABORT, rpc))
             rpc.answered = True
             may_halt = self.settings.halt is not Halt.NONE and not keyed and event is not DROP
             event = yield Action(ActionKind.HALT, rpc) if may_halt else None
 
     def _make_calls(self, rpc: Rpc) -> Generator[Action | None, Any, Any]:
-        """The attempts of one downstream call; returns the event with which the run goes on or ends."""
+        """Makes the attempts of one downstream call; returns the event that continues or ends the run."""
         method, idempotent, may_call = rpc.method, rpc.method.kind is MethodKind.IDEMPOTENT, True
         while True:
             event: Any = SKIP
@@ -82,13 +83,15 @@
                 return event
             self._set_state(rpc, CALLING)
             rpc.calls_made += 1
-            # a call that cannot end before the target may take until the due time: a shorter timeout would
-            # only waste the work
+            # a call that is unlikely to end before the target may take until the due time: a shorter timeout
+            # would only waste the work
             half_work = int(self._expected_work(rpc) / 2)
             fits_target = rpc.target - self.now - half_work > SLOW_CALL_FACTOR * self.usual_call
             timeout = (rpc.target if fits_target else rpc.due) - self.now - half_work
-            loss_timeout = int(LOST_CALL_FACTOR * self.usual_call) if idempotent and self._few_odd_replies() else 0
-            event = yield Action(ActionKind.CALL, rpc, max(TICK, min(timeout, loss_timeout or timeout, self.pacer.max_call_duration)))
+            loss_timeout = (int(LOST_CALL_FACTOR * self.usual_call)
+                            if idempotent and self._few_odd_replies() else 0)
+            event = yield Action(ActionKind.CALL, rpc, max(
+                TICK, min(timeout, loss_timeout or timeout, self.pacer.max_call_duration)))
             if event is Outcome.OK:
                 self._set_state(rpc, RUNNING)
                 return (yield None)
@@ -103,11 +106,13 @@
         rpc.answered = True
         if not rpc.is_retry:
             self.reject_ages[rpc.method].add(self.now - rpc.target + rpc.method.latency_target, self.now)
-        # advice when to retry: the time until the next run is likely to have ended
-        retry_after = self.settings.max_retry_after if self.cores_hung or self.stop_at else self._usual_cost(rpc.method) / self._effective_run_limit()
+        # advises a retry at the time by which the next run has likely ended
+        retry_after = (self.settings.max_retry_after if self.cores_hung or self.stop_at
+                       else self._usual_cost(rpc.method) / self._effective_run_limit())
         if self.calendar is not None and rpc.promised:
             self.calendar.on_promise_broken()
         if self.calendar is not None and last and not self.cores_hung and not self.stop_at:
             latest = int(min(rpc.target, rpc.due) - 2 * self._expected_work(rpc))
-            retry_after = self.calendar.promise(rpc.caller, self.method_numbers[rpc.method], self.now, latest) or 1e9
+            retry_after = self.calendar.promise(
+                rpc.caller, self.method_numbers[rpc.method], self.now, latest) or 1e9
         return Action(ActionKind.REJECT, rpc, int(min(retry_after, self.settings.max_retry_after)), last)
--- a/hollystage/policy/queues.py
+++ b/hollystage/policy/queues.py
@@ -13,8 +13,10 @@
 from .buckets import *
 
 # default bounds of the call limit, as shares of the concurrent calls that this instance may make
-MIN_LIMIT_SHARE, MAX_LIMIT_SHARE = 0.1, 0.9
-POOL_STATES = {RUNNING: ON_CORES, WAITING: AWAITING_CALL, CALLING: IN_CALL}  # states in which an RPC takes a slot of its pool
+MIN_LIMIT_SHARE = 0.1
+MAX_LIMIT_SHARE = 0.9
+# states that the pools keep account of
+POOL_STATES = {RUNNING: ON_CORES, WAITING: AWAITING_CALL, CALLING: IN_CALL}
 
 
 class Queues:
@@ -23,45 +25,52 @@
     def __init__(self, settings: Settings, now: int) -> None:
         self.settings, self.started_at, self.now = settings, now, now
         self.actions: list[Action] = []
-        self.due_queue: RpcQueue = []
-        self.key_expiries: RpcQueue = []
+        self.due_queue: RpcQueue = []  # all RPCs by due time
+        self.key_expiries: RpcQueue = []  # RPCs by the time when their idempotency key is forgotten
         self.method_numbers = {method: number for number, method in enumerate(settings.methods)}
         self.pools: Pools | None = None
         self.calendar = RetryCalendar(settings.max_retry_after) if settings.promises else None
         self.room_elsewhere = False  # whether peers report spare capacity
         # queues for the cores and for downstream calls: one for each pool, then one more with the cheapest
-        # work of all pools, which is also in the queue of its pool
+        # work of all pools, whose RPCs are also in the queue of their pool
         self.run_queues: list[RpcQueue] = [[]]
         self.call_queues: list[RpcQueue] = [[]]
-        self.live_keys: set[Rpc] = set()
+        self.live_keys: set[Rpc] = set()  # RPCs whose idempotency key is remembered
         self.state_counts = dict.fromkeys((QUEUED, RUNNING, CALLING, WAITING, JOINED, DONE), 0)
         self.memory = self.other_runnable = self.cpu_busy = self.usual_call = 0.0
         self.run_limit = float(settings.cores)
         self.clients: dict[tuple[Tenant | None, Method], Client] = {}
-        self.run_times, self.reject_ages, self.off_core_times = ({m: DecayingSum(now) for m in settings.methods} for _ in range(3))
+        # by method: times on the cores, ages at which first attempts were rejected, times off the cores
+        self.run_times, self.reject_ages, self.off_core_times = (
+            {m: DecayingSum(now) for m in settings.methods} for _ in range(3))
         self.timeout_histograms = {m: [0.0] * (TIMEOUT_BINS + 1) for m in settings.methods}
         self.under_pressure, self.cores_hung, self.reading_late, self.healthy = False, False, False, True
-        self.last_seen: dict[int, int] = {}
-        self.idle_limit, self.returning_callers = settings.max_idle, DecayingSum(now, max(DECAY_SPAN, settings.max_idle))
+        self.last_seen: dict[int, int] = {}  # time of the last RPC of each caller
+        self.idle_limit, self.returning_callers = (
+            settings.max_idle, DecayingSum(now, max(DECAY_SPAN, settings.max_idle)))
+        # means over the read RPCs or, for odd replies (slow or lost), over the downstream calls
         self.unread_times, self.rejections, self.odd_replies, self.likely_retries, self.redirects = (
             DecayingSum(now, RECENT_SPAN) for _ in range(5))
         targets = [m.latency_target for m in settings.methods]
         self.min_target, self.max_target = min(targets), max(targets)
         lowest = min(m.criticality for m in settings.methods)
-        self.criticality_factor = {m: (lowest / m.criticality) ** 0.5 if m.criticality else 1.0 for m in settings.methods}
+        self.criticality_factor = {
+            m: (lowest / m.criticality) ** 0.5 if m.criticality else 1.0 for m in settings.methods}
         self.progress_at = self.rates_updated_at = self.hang_ended_at = self.cut_at = self.next_call_at = now
         self.stop_at = self.grace_ends_at = self.sequence = 0
+        # share of their load that callers may send; the last load signal, -1 before the first one
         self.admit_level, self.sent_signal = 0.3 if settings.cold else 1.0, -1.0
-        # a tier of servers limits its own load and announces no share: the number of calls is bounded by the
-        # number of RPCs that this instance may start
+        # a tier of servers limits its own load and announces no share of calls: there the bound is the number
+        # of started RPCs at which the throughput of this instance collapses
         concurrency = settings.cores * settings.fall_multiple
-        share, config = concurrency if settings.downstream_tier else max(0.01, settings.calls_out), settings.call_limit
+        share, config = (
+            concurrency if settings.downstream_tier else max(0.01, settings.calls_out), settings.call_limit)
         max_limit = config.max_limit or share * MAX_LIMIT_SHARE
         min_limit = min(max_limit, config.min_limit or share * MIN_LIMIT_SHARE)
         self.call_limit = make_limit(config.policy, min(max_limit, share / 2), min_limit, max_limit, now)
         self.stall_detector = StallDetector(STALL_THRESHOLD)
         self.pace = DecayingSum(now)  # time on the cores for each microsecond of hinted work
-        self.lingering_calls: list[int] = []
+        self.lingering_calls: list[int] = []  # a heap of the times until which abandoned calls still count
         self.pacer = Pacer(now, 0.0, settings.call_averaging_span)
 
     def _set_state(self, rpc: Rpc, state: str) -> None:
@@ -73,21 +82,23 @@
         for changed, sign in ((rpc.state, -1), (state, 1)):
             if changed:
                 self.state_counts[changed] += sign
-                weight = self.settings.run_factor if changed in (RUNNING, CALLING, WAITING) else changed != DONE
+                weight = (self.settings.run_factor if changed in (RUNNING, CALLING, WAITING)
+                          else changed != DONE)
                 self.memory += sign * weight * rpc.size
         if self.pools is not None:
-            self.pools.on_move(rpc, POOL_STATES.get(rpc.state, NOT_STARTED), POOL_STATES.get(state, NOT_STARTED), self.now)
+            self.pools.on_move(
+                rpc, POOL_STATES.get(rpc.state, NOT_STARTED), POOL_STATES.get(state, NOT_STARTED), self.now)
         rpc.state, rpc.state_since = state, self.now
 
-    def _push(self, queue: RpcQueue, at: int, rpc: Rpc) -> None:
-        """Puts an RPC on a heap; equal keys keep their order of arrival."""
+    def _push(self, queue: RpcQueue, key: int, rpc: Rpc) -> None:
+        """Puts an RPC on a heap with the key `key`; RPCs with equal keys keep their order of insertion."""
         self.sequence += 1
-        heappush(queue, (at, self.sequence, rpc))
+        heappush(queue, (key, self.sequence, rpc))
 
     def _resume(self, rpc: Rpc, event: Any) -> None:
         """Sends `event` to the lifecycle of the RPC and runs it until it waits for the next event.
 
-        Events for an RPC that is over are ignored.
+        Events for an RPC that has ended are ignored.
         """
         if rpc.lifecycle is None:
             return
@@ -111,11 +122,12 @@
         return queue[0][0] if queue else None
 
     def _next_queue(self, queues: list[RpcQueue], state: str, limit: float, taken: int) -> RpcQueue | None:
-        """The queue whose first RPC may go on, or None. `taken` slots of `limit` are in use."""
+        """The queue whose first RPC may start or call, or None. `taken` slots of `limit` are in use."""
         heads = [self._head(queue, state) for queue in queues]
         if self.pools is None:
             return queues[0] if heads[0] is not None and taken + 1 <= limit else None
-        chosen = (self.pools.next_to_start if state == QUEUED else self.pools.next_to_call)(limit, heads, taken, self.now)
+        chosen = (self.pools.next_to_start if state == QUEUED else self.pools.next_to_call)(
+            limit, heads, taken, self.now)
         if chosen == NO_POOL:
             return None
         queues[chosen][0][2].uses_reserve = chosen == self.pools.count
