--- a/hollystage/interface.py
+++ b/hollystage/interface.py
@@ -1,6 +1,6 @@
 """Types shared by the decision module and its adapters.
 
-An adapter (service or benchlink) creates an Rpc for each request, reports events to Control and carries out the
+An adapter (`service` or `benchlink`) creates an Rpc for each request, reports events to Control and carries out the
 actions that Control returns. All times are whole microseconds and memory is in kilobytes. RPCs are identified
 by object; wire ids are known to the adapter only.
 """
@@ -81,14 +81,14 @@
 
 @dataclass(slots=True, eq=False)
 class Tenant:
-    """A tenant and its quota, RPCs a second over all instances; 0 for no quota."""
+    """A tenant and its quota: RPCs a second over all instances; 0 for no quota."""
 
     quota_per_s: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class Pool:
-    """A group of methods with a guaranteed share of the run limit and of the downstream calls.
+    """A group of methods with a guaranteed share of the run limit and of the downstream call limit.
 
     Attributes:
         guaranteed: Share that the pool can always use.
@@ -301,7 +301,7 @@
 
 
 class Action(NamedTuple):
-    """One action for the adapter; the comments of ActionKind tell which fields each kind uses.
+    """One action for the adapter; the comments of ActionKind state which fields each kind uses.
 
     Attributes:
         rpc: The RPC it concerns; None for actions of the whole instance.
--- a/hollystage/settings.py
+++ b/hollystage/settings.py
@@ -29,7 +29,7 @@
 
 
 class Profile(SettingsPart):
-    """A method: whether it may run again, its value, latency target, deadline, and how long its keys are remembered."""
+    """A method: whether it may run again, its value, latency target, deadline and the lifetime of its keys."""
 
     repeat: Literal["repeatable", "by_key", "once"]
     value: NonNegative
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""Without pools the decision module takes the same decisions as recorded: compares hashes of all actions of a scene."""
+"""Without pools the decision module decides as recorded: compares a hash of all actions of each scene."""
 import json
 import pathlib
 
