--- a/hollystage/policy/buckets.py
+++ b/hollystage/policy/buckets.py
@@ -9,7 +9,7 @@
 
 from ..interface import Method, Outcome, Rpc, Tenant
 
-TICK = 50_000  # period of tick(); an RPC that falls due before the next tick is answered at this one
+TICK = 50_000  # period of tick(); overdue RPCs are answered up to one tick early
 DECAY_SPAN = 4_000_000  # time constant of sums over arrivals and costs
 RECENT_SPAN = 1_000_000  # time constant of sums over unread times and rejections
 BUCKETS = 2  # nested buckets of a client
@@ -45,8 +45,8 @@
 
 # events that resume the lifecycle of an RPC, besides the outcomes of runs and calls
 START, DROP, OVERDUE, GONE, AT_CALL, GO, SKIP = "start drop overdue gone at_call go skip".split()
-NOT_EXECUTED = (Outcome.FULL, Outcome.CONNECT_FAILED)  # prove that a call was not executed
-REPLY_LOST = (Outcome.TIMEOUT, Outcome.RESET)  # leave open whether it was
+NOT_EXECUTED = (Outcome.FULL, Outcome.CONNECT_FAILED)  # the call was certainly not executed
+REPLY_LOST = (Outcome.TIMEOUT, Outcome.RESET)  # the call may have been executed
 # states of an RPC; the strings appear in logs
 QUEUED, RUNNING, CALLING, WAITING, JOINED, DONE = "held running calling waiting joined over".split()
 
--- a/hollystage/policy/estimates.py
+++ b/hollystage/policy/estimates.py
@@ -16,7 +16,7 @@
     """Estimates from measurements; costs and waiting times are in microseconds."""
 
     def _time_for_call(self, rpc: Rpc) -> float:
-        """Time left for a further call: up to the target, less half of the run and one usual call."""
+        """Time left for one more call: up to the target, less half of the run and one usual call."""
         return min(rpc.target, rpc.due) - self.now - self._expected_work(rpc) / 2 - self.usual_call
 
     def _few_odd_replies(self) -> bool:
