--- a/hollystage/control.py
+++ b/hollystage/control.py
@@ -203,9 +203,9 @@
                 self.now - self.progress_at > HANG_FACTOR / 2 * max(
                     (self._expected_work(r) for _, _, r in self.due_queue
                      if r.work_hint and r.state == RUNNING), default=0.0)):
-            # cores that take work and finish none count as hung; harmful where single RPCs run this long. Takes
-            # at least the longest target, since on small or cold machines one long run, or a cost that is not
-            # learned yet, looks like a hang
+            # cores that take work and finish none count as hung; harmful where single RPCs run this long. It
+            # takes at least the longest target, since on small or cold machines one long run, or a cost that
+            # is not learned yet, looks like a hang
             self.cores_hung = True
             for _, _, rpc in list(self.due_queue):
                 may_repeat = rpc.state == RUNNING and rpc.method.kind is MethodKind.IDEMPOTENT
