--- a/hollystage/service/budget_limiter.py
+++ b/hollystage/service/budget_limiter.py
@@ -33,11 +33,13 @@
         `share`: share of the allocation that a cold instance may use. Returns the time at which the limit expires.
         """
         self.ramp_share = share
-        waiting = [rpc.method.criticality for queue in control.call_queues for _, _, rpc in queue if rpc.state == WAITING]
+        waiting = [rpc.method.criticality for queue in control.call_queues for _, _, rpc in queue
+                   if rpc.state == WAITING]
         if waiting:
             self.weight = max(1e-3, sum(waiting) / len(waiting))
         # RPCs that wait because the learned limit is lower would not be helped by a larger allocation
-        self.waiting = len(waiting) if control.call_limit.value >= BUDGET_BOUND_SHARE * self.applied_limit or not self.applied_limit else 0
+        self.waiting = (len(waiting) if control.call_limit.value >= BUDGET_BOUND_SHARE * self.applied_limit
+                        or not self.applied_limit else 0)
         return self.update_limit(control, now)
 
     def update_limit(self, control: Control, now: int) -> int:
--- a/hollystage/service/config.py
+++ b/hollystage/service/config.py
@@ -90,8 +90,8 @@
             methods = [getattr(entry.value, "method", None), *getattr(entry.value, "methods", [])]
             for method in methods:
                 if method is not None and method not in names:
-                    raise ConfigError(f"plan: {entry.origin}: {entry.value.section_name} names the method {method!r}, "
-                                 "which the settings lack")
+                    raise ConfigError(f"plan: {entry.origin}: {entry.value.section_name} names the method "
+                                      f"{method!r}, which the settings lack")
     return config
 
 
@@ -116,7 +116,8 @@
     if plan is None:
         return None, CallLimitConfig()
     limit = next(iter(plan.all_of(sections.Limit)), None)
-    call_limit = CallLimitConfig() if limit is None else CallLimitConfig(limit.policy, float(limit.least), float(limit.most))
+    call_limit = CallLimitConfig() if limit is None else CallLimitConfig(
+        limit.policy, float(limit.least), float(limit.most))
     pools = plan.all_of(sections.Pool)
     if not pools:
         return None, call_limit
@@ -152,7 +153,7 @@
     if fleet is None or fleet.bind is None or fleet.key is None:
         return None
     return FleetConfig(fleet.bind, fleet.advertise or fleet.bind, fleet.peers, fleet.zone, fleet.cluster, fleet.key,
-                   fleet.period)
+                       fleet.period)
 
 
 class BudgetConfig(msgspec.Struct, frozen=True):
--- a/hollystage/service/driver.py
+++ b/hollystage/service/driver.py
@@ -20,7 +20,8 @@
 
 GAUGE_LEAD_TIME = 10_000  # microseconds before the module's timer at which the gauges are requested
 MAX_GAUGE_AGE = 1_000_000  # microseconds; older gauges are ignored
-SIGNAL_CHECK_TIMEOUT_S, SIGNAL_CHECK_POLL_S = 0.5, 0.005  # limit and interval of the wait for a check for a pending drain signal
+# limit and polling interval of the wait for a check whether a drain signal is pending
+SIGNAL_CHECK_TIMEOUT_S, SIGNAL_CHECK_POLL_S = 0.5, 0.005
 
 
 class InterpreterCommands(Protocol):
@@ -67,7 +68,7 @@
         self.idempotency_table = IdempotencyTable(max(method.deadline for method in settings.methods))
         self.gauges: dict[str, float] = {}
         self.gauges_at = self.calls_ended = 0
-        self.load_signal: float | None = None  # sent to callers in X-LoadGenerator-Signal
+        self.load_signal: float | None = None  # sent to callers in X-Load-Signal
         self.healthy, self.idle_limit, self.next_tick = True, settings.max_idle, clock()
         self.health_changed = threading.Event()  # set when the health changes
         self.stopped = self.has_received_rpc = self.draining = False
@@ -189,9 +190,9 @@
         with self.lock:
             if exchange.rpc.answered or exchange.earlier is None:
                 return
-            end = self.idempotency_table.join(exchange, exchange.earlier)
-            if end is not None:
-                self._finish_join(exchange, end)
+            result = self.idempotency_table.join(exchange, exchange.earlier)
+            if result is not None:
+                self._finish_join(exchange, result)
 
     # Events from the interpreter link
 
@@ -318,25 +319,26 @@
             self.healthy = action.flag
             self.health_changed.set()
 
-    def _finish_join(self, exchange: Exchange, end: RunResult) -> None:
+    def _finish_join(self, exchange: Exchange, result: RunResult) -> None:
+        """Reports the end of the earlier run to an RPC that joined it."""
         if exchange.rpc.answered:
             return
         now = clock()
         # a run that did not succeed has no result for the RPCs that joined it
-        outcome = Outcome.OK if end.outcome is Outcome.OK else Outcome.ERROR
+        outcome = Outcome.OK if result.outcome is Outcome.OK else Outcome.ERROR
         self.control.finished(exchange.rpc, outcome, now - exchange.rpc.state_since, now)
-        exchange.post(RunResult(outcome, end.result))
+        exchange.post(RunResult(outcome, result.result))
         self._process_actions(now)
 
     def _finish_run(self, exchange: Exchange, outcome: Outcome, duration: int, result: bytes, now: int) -> None:
         """Reports the end of a run to the module, to the RPC's thread and to the repeats that joined it."""
         exchange.run_ended, unanswered = True, not exchange.rpc.answered
-        end = RunResult(outcome, result)
+        run_result = RunResult(outcome, result)
         self.control.finished(exchange.rpc, outcome, duration, now)
         if unanswered:
-            exchange.post(end)
-        for waiting in self.idempotency_table.complete(exchange, end):
-            self._finish_join(waiting, end)
+            exchange.post(run_result)
+        for waiting in self.idempotency_table.complete(exchange, run_result):
+            self._finish_join(waiting, run_result)
 
     def _find_open_run(self, request_id: str) -> Exchange | None:
         """Returns the exchange of a run that has not ended; counts notices for others."""
--- a/hollystage/service/instance.py
+++ b/hollystage/service/instance.py
@@ -50,14 +50,15 @@
         self.driver.interpreter = self.link
         calls = sockets // 8
         self.ledger = LedgerClient(config.address("ledger"), calls, pool, self.counters, log)
-        self.health_reporter = HealthReporter(config.address("control"), config.name, self.driver, pool, self.counters,
-                                 log)
+        self.health_reporter = HealthReporter(config.address("control"), config.name, self.driver, pool,
+                                              self.counters, log)
         names = [profile.name for profile in config.settings.profiles]
         self.clients = ClientConnections(config.address("listen"), names, self.driver, self.link, self.ledger,
-                               max_client_connections(sockets, calls), pool, self.counters, log)
+                                         max_client_connections(sockets, calls), pool, self.counters, log)
         self.peers = self._make_peers()
         if self.peers is not None:
-            self.health_reporter.start_delay_us = self.peers.recovery.jitter.delay("report", self.peers.recovery.configured_instances)
+            self.health_reporter.start_delay_us = self.peers.recovery.jitter.delay(
+                "report", self.peers.recovery.configured_instances)
 
     def _make_peers(self) -> Peers | None:
         """Imports the packages for the fleet and for stored state only if the plan enables one of them."""
@@ -71,7 +72,8 @@
         """Starts the threads and returns."""
         threading.stack_size(THREAD_STACK_BYTES)  # also applies to the threads of later connections
         for task in (self.link.run_writer, self.link.run_reader, self.driver.run_timer,
-                     self.clients.watch_connections, self.clients.accept_connections, self.health_reporter.run_reports,
+                     self.clients.watch_connections, self.clients.accept_connections,
+                     self.health_reporter.run_reports,
                      *(self.peers.tasks() if self.peers is not None else ())):
             threading.Thread(target=self._run_task, args=(task,), name=task.__qualname__, daemon=True).start()
         self.log.info("serving", listen=self.config.listen)
--- a/hollystage/service/interpreter.py
+++ b/hollystage/service/interpreter.py
@@ -120,6 +120,7 @@
         return smoke.passed
 
     def _send_run_command(self, request_id: str, command: dict[str, Any]) -> None:
+        """Stores a command of an open run until it is confirmed, and sends it if the link is synchronized."""
         with self.lock:
             lines = self.unacknowledged.get(request_id)
             if lines is None:  # the run has ended
@@ -192,6 +193,7 @@
             sock.shutdown(socket.SHUT_RDWR)
 
     def _run_connection(self) -> None:
+        """Connects and reads notices until the connection ends; returns if it cannot be established."""
         address = self.address
         try:
             sock = socket.create_connection(address, CONNECT_TIMEOUT_S)
@@ -211,7 +213,8 @@
                 self._send({"cmd": "CONNECT", "offset": self.offset})
             self.counters.add("interpreter.links")
             self._read_notices(Stream(sock, buffer), marker)
-        except (OSError, IncompleteMessageError, MessageTooLongError, InterpreterProtocolError, msgspec.DecodeError) as error:
+        except (OSError, IncompleteMessageError, MessageTooLongError, InterpreterProtocolError,
+                msgspec.DecodeError) as error:
             if self.stopped:
                 return
             self.counters.add("interpreter.broken")
@@ -224,6 +227,10 @@
             self.pool.release(buffer)
 
     def _read_notices(self, stream: Stream, marker: str) -> None:
+        """Reads notices until an exception ends the connection.
+
+        `marker`: token of the request for gauges that follows the BANNER.
+        """
         greeted = False
         while True:
             # the gauges are requested all the time, so silence means a dead connection, except before the BANNER,
@@ -231,7 +238,8 @@
             deadline = time.monotonic() + SILENCE_TIMEOUT_S if greeted else None
             try:
                 line = stream.read_until(b"\n", len(stream.buffer), deadline)
-            except MessageTooLongError:  # can only be a TRACE; it is skipped, since a new connection would deliver it again
+            except MessageTooLongError:
+                # can only be a TRACE; it is skipped, since a new connection would deliver it again
                 stream.skip_past(b"\n", time.monotonic() + SILENCE_TIMEOUT_S)
                 self.counters.add("interpreter.too_long")
                 continue
--- a/hollystage/service/ledger_client.py
+++ b/hollystage/service/ledger_client.py
@@ -22,7 +22,8 @@
 CONNECT_FAILURE_DELAY_S = 0.02  # delay after a failed connection attempt
 REPLY_GRACE_S = 0.02  # extra wait past the limit for the ledger's own response about its time-out
 
-RegisterCancel = Callable[[Callable[[], None] | None], bool]  # registers the function that cancels; False: do not call
+# registers the function that cancels the call, or None; returns False if the call must not be made
+RegisterCancel = Callable[[Callable[[], None] | None], bool]
 
 
 class LedgerClient:
--- a/hollystage/service/peers.py
+++ b/hollystage/service/peers.py
@@ -41,13 +41,15 @@
         self.has_served = False
         self.folder = self._open_folder(config)
         self.boot = boots.next_boot(self.folder, self.clock() // 1000, log)
-        stored, fleet = state_config(config), config.plan.first_of(sections.Fleet) if config.plan is not None else None
+        stored, fleet = (state_config(config),
+                         config.plan.first_of(sections.Fleet) if config.plan is not None else None)
         # instances that share a configured seed must not draw the same start times
         self.seed = int(config.seed, 16) ^ crc32(config.name.encode())
         names = [profile.name for profile in config.settings.profiles]
         instances = fleet.instances if fleet is not None else int(config.settings.peers_total)
-        self.recovery = RecoveryManager(driver, names, instances, self.folder, stored.every if stored is not None else 0,
-                                 self.boot, self.seed, self.clock, counters, log)
+        self.recovery = RecoveryManager(driver, names, instances, self.folder,
+                                        stored.every if stored is not None else 0,
+                                        self.boot, self.seed, self.clock, counters, log)
         settings = fleet_config(config)
         self.agent = self.recovery.agent = self._make_agent(config, settings) if settings is not None else None
         if self.agent is not None:
@@ -72,7 +74,8 @@
         except UnusableFileError as error:
             self.log.error("serving goes on without peers", why=f"fleet.key: {error}")
             return None
-        parameters = dataclasses.replace(membership_parameters(settings.probe_period), expected_members=self.recovery.configured_instances)
+        parameters = dataclasses.replace(membership_parameters(settings.probe_period),
+                                         expected_members=self.recovery.configured_instances)
         return Agent(config.name, settings.zone, settings.bind, settings.advertise, settings.peers, key,
                      settings.cluster, parameters, self.seed, self.boot, self.status, self._save_boot, self.clock,
                      self.counters, self.log)
@@ -116,18 +119,20 @@
 
     def status(self) -> MemberStatus:
         """Returns the status that this instance publishes to its peers."""
-        steering = self.recovery
-        return MemberStatus(stage=self._stage(), plan=self.plan_fingerprint, age=steering.learned_age_s, pressure=steering.pressure_level,
-                      machine=machine_fingerprint(self.driver.settings))
+        recovery = self.recovery
+        return MemberStatus(stage=self._stage(), plan=self.plan_fingerprint, age=recovery.learned_age_s,
+                            pressure=recovery.pressure_level, machine=machine_fingerprint(self.driver.settings))
 
     def _stage(self) -> Stage:
+        """Returns the lifecycle stage; STARTING until the interpreter link is synchronized for the first time."""
         settings, control = self.driver.settings, self.driver.control
         if self.driver.draining:
             return Stage.DRAINING
         self.has_served = self.has_served or self.link.synced
         if not self.has_served:
             return Stage.STARTING
-        return Stage.COLD if settings.cold and self.clock() - control.started_at < settings.warm_after else Stage.SERVING
+        return (Stage.COLD if settings.cold and self.clock() - control.started_at < settings.warm_after
+                else Stage.SERVING)
 
     def _save_boot(self, boot: int) -> None:
         """Stores a raised boot number: peers know a greater one than the clock and the folder yielded."""
@@ -161,7 +166,7 @@
     """Scales the default membership times to a probe period; the ack timeout stays three tenths of it."""
     default = Parameters()
     return Parameters(probe_period=period, ack_timeout=period * default.ack_timeout // default.probe_period,
-                 lost_probe_period=period * default.lost_probe_period // default.probe_period)
+                      lost_probe_period=period * default.lost_probe_period // default.probe_period)
 
 
 def plan_fingerprint(plan: Plan | None) -> int:
--- a/hollystage/service/recovery_manager.py
+++ b/hollystage/service/recovery_manager.py
@@ -80,7 +80,8 @@
         """Restores the stored statistics, weighted by their age, into a new decision module."""
         self.ramp_controller = RampController(control, now, self.configured_instances, control.settings.cold)
         if self.stored is not None:
-            self.restored_weights = recovery.restore_learned(control, self.method_names, self.stored.learned, self.stored_age_s, now)
+            self.restored_weights = recovery.restore_learned(control, self.method_names, self.stored.learned,
+                                                             self.stored_age_s, now)
 
     def tick(self, control: Control, calls: int, now: int) -> None:
         """Updates the bounds of the calls and the pressure level; `calls`: downstream calls that ended so far."""
@@ -110,8 +111,9 @@
     def may_have_run(self, exchange: Exchange, now: int) -> bool:
         """Returns whether a process before this one may have run the RPC."""
         rpc = exchange.rpc
-        return self.restart_guard is not None and exchange.idempotency_key is not None and self.restart_guard.may_have_run(
-            rpc.method, exchange.idempotency_key, rpc.is_retry, now - rpc.unread_time)
+        return (self.restart_guard is not None and exchange.idempotency_key is not None
+                and self.restart_guard.may_have_run(rpc.method, exchange.idempotency_key, rpc.is_retry,
+                                                    now - rpc.unread_time))
 
     # Called without the driver's lock
 
@@ -124,7 +126,8 @@
     def learned_age_s(self) -> int:
         """Age in seconds of the statistics in use, published to peers; 0 from 10 s after the start."""
         just_started = self.clock() - self.started_at < 10_000_000
-        return int(self.stored_age_s) if just_started and self.stored_age_s is not None and self.restored_weights else 0
+        return (int(self.stored_age_s) if just_started and self.stored_age_s is not None and self.restored_weights
+                else 0)
 
     def run_state_tasks(self) -> None:
         """Writes snapshots, and fetches statistics from peers if none are stored, until stopped."""
@@ -133,7 +136,8 @@
         while not self.stopped:
             never_set.wait(POLL_INTERVAL_S)
             now = self.clock()
-            if self.folder is not None and self.exported is not None and now - self.written_at >= self.snapshot_interval:
+            if (self.folder is not None and self.exported is not None
+                    and now - self.written_at >= self.snapshot_interval):
                 self.written_at = now
                 self._write_snapshot(self.folder, self.exported, now)
             if not self.fetch_done and self.stored is None and self.agent is not None and now >= fetch_at:
