--- a/tests/test_allotment.py
+++ b/tests/test_allotment.py
@@ -30,100 +30,102 @@
             self.steps, self.change_on_report = self.change_on_report, None
 
 
-def box_with(*steps, count=12):
-    """Returns a box in which every run waits for a downstream call."""
-    box = ControlHarness(lookup(deadline=20 * SECOND, latency_target=20 * SECOND), cores=20, calls_out=1000.0)
+def harness_with(*steps, count=12):
+    """Returns a control harness in which every run waits for a downstream call."""
+    harness = ControlHarness(lookup(deadline=20 * SECOND, latency_target=20 * SECOND), cores=20, calls_out=1000.0)
     endpoint = FakeEndpoint(*steps)
     limiter = BudgetLimiter(endpoint, "calls")
-    limiter.tick(box.control, 1.0, box.now)
-    rpcs = [box.send(caller=n) for n in range(count)]
-    box.flush()
+    limiter.tick(harness.control, 1.0, harness.now)
+    rpcs = [harness.send(caller=n) for n in range(count)]
+    harness.flush()
     for rpc in rpcs:
-        box.control.at_call(rpc, box.now)
-    box.flush()
-    return box, limiter, endpoint, rpcs
+        harness.control.at_call(rpc, harness.now)
+    harness.flush()
+    return harness, limiter, endpoint, rpcs
 
 
-def calls(box):
-    return sum(action.kind is ActionKind.CALL for action in box.actions)
+def calls(harness):
+    return sum(action.kind is ActionKind.CALL for action in harness.actions)
 
 
 def test_calls_are_bounded_by_the_allocation_and_the_rest_is_reported_as_waiting():
-    box, limiter, endpoint, _ = box_with((FOREVER, 5))
-    assert calls(box) == 5 and box.control.state_counts[CALLING] == 5
-    limiter.tick(box.control, 1.0, box.now)
-    assert endpoint.reported[-1] == Usage(5, 5, box.control.state_counts[WAITING], 1.0) and box.control.state_counts[WAITING] == 7
+    harness, limiter, endpoint, _ = harness_with((FOREVER, 5))
+    assert calls(harness) == 5 and harness.control.state_counts[CALLING] == 5
+    limiter.tick(harness.control, 1.0, harness.now)
+    assert (endpoint.reported[-1] == Usage(5, 5, harness.control.state_counts[WAITING], 1.0)
+            and harness.control.state_counts[WAITING] == 7)
 
 
 def test_larger_allocation_is_used_at_once_and_smaller_one_lets_calls_end():
-    box, limiter, endpoint, rpcs = box_with((FOREVER, 3))
+    harness, limiter, endpoint, rpcs = harness_with((FOREVER, 3))
     endpoint.steps = {"calls": ((FOREVER, 9),)}
-    limiter.tick(box.control, 1.0, box.now)
-    box.flush()
-    assert box.control.state_counts[CALLING] == 9
+    limiter.tick(harness.control, 1.0, harness.now)
+    harness.flush()
+    assert harness.control.state_counts[CALLING] == 9
     endpoint.steps = {"calls": ((FOREVER, 2),)}
-    limiter.tick(box.control, 1.0, box.now)
+    limiter.tick(harness.control, 1.0, harness.now)
     for rpc in [rpc for rpc in rpcs if rpc.state == CALLING][:8]:
-        box.control.called(rpc, Outcome.OK, 10_000, box.now)
-        box.flush()
-    assert box.control.state_counts[CALLING] == 2
+        harness.control.call_finished(rpc, Outcome.OK, 10_000, harness.now)
+        harness.flush()
+    assert harness.control.state_counts[CALLING] == 2
 
 
 def test_no_call_is_made_without_an_allocation():
-    box, limiter, endpoint, _ = box_with((FOREVER, 0))
+    harness, limiter, endpoint, _ = harness_with((FOREVER, 0))
     for _ in range(40):
-        box.now += TICK
-        limiter.tick(box.control, 1.0, box.now)
-        box.control.tick({}, box.now)
-        box.flush()
-    assert calls(box) == 0
+        harness.now += TICK
+        limiter.tick(harness.control, 1.0, harness.now)
+        harness.control.tick({}, harness.now)
+        harness.flush()
+    assert calls(harness) == 0
     endpoint.steps = {"calls": ((FOREVER, 1),)}
-    limiter.tick(box.control, 1.0, box.now)
-    box.flush()
-    assert calls(box) == 1
+    limiter.tick(harness.control, 1.0, harness.now)
+    harness.flush()
+    assert calls(harness) == 1
 
 
 def test_expired_allocation_is_replaced_before_the_next_decision():
-    box, limiter, endpoint, rpcs = box_with((11 * SECOND, 6), (FOREVER, 1))
-    assert limiter.update_limit(box.control, box.now) == 11 * SECOND and calls(box) == 6
-    box.now = 12 * SECOND  # suspended past the expiry; the end of a call is the first event after it
-    assert limiter.update_limit(box.control, box.now) == FOREVER
-    box.control.called(rpcs[0], Outcome.OK, 10_000, box.now)
-    box.flush()
-    assert calls(box) == 6 and endpoint.reported[-1].applied_limit == 1 and endpoint.reported[-1].in_use == 6
+    harness, limiter, endpoint, rpcs = harness_with((11 * SECOND, 6), (FOREVER, 1))
+    assert limiter.update_limit(harness.control, harness.now) == 11 * SECOND and calls(harness) == 6
+    harness.now = 12 * SECOND  # suspended past the expiry; the end of a call is the first event after it
+    assert limiter.update_limit(harness.control, harness.now) == FOREVER
+    harness.control.call_finished(rpcs[0], Outcome.OK, 10_000, harness.now)
+    harness.flush()
+    assert calls(harness) == 6 and endpoint.reported[-1].applied_limit == 1 and endpoint.reported[-1].in_use == 6
 
 
 def test_allocation_replaced_while_it_is_reported_is_not_applied():
-    box, limiter, endpoint, _ = box_with((FOREVER, 2), count=8)
+    harness, limiter, endpoint, _ = harness_with((FOREVER, 2), count=8)
     endpoint.steps, endpoint.change_on_report = {"calls": ((FOREVER, 7),)}, {"calls": ((FOREVER, 3),)}
-    limiter.tick(box.control, 1.0, box.now)
-    box.flush()
-    assert box.control.state_counts[CALLING] == 3 and [use.applied_limit for use in endpoint.reported[-2:]] == [7, 3]
+    limiter.tick(harness.control, 1.0, harness.now)
+    harness.flush()
+    assert (harness.control.state_counts[CALLING] == 3
+            and [usage.applied_limit for usage in endpoint.reported[-2:]] == [7, 3])
 
 
 def test_cold_instance_uses_the_share_that_its_ramp_allows():
-    box, limiter, endpoint, _ = box_with((FOREVER, 2))
+    harness, limiter, endpoint, _ = harness_with((FOREVER, 2))
     endpoint.steps = {"calls": ((FOREVER, 10),)}
-    limiter.tick(box.control, 0.4, box.now)
-    box.flush()
-    assert box.control.state_counts[CALLING] == 4
+    limiter.tick(harness.control, 0.4, harness.now)
+    harness.flush()
+    assert harness.control.state_counts[CALLING] == 4
 
 
 def test_allocation_is_not_bounded_by_the_share_for_the_configured_number_of_instances():
-    box, limiter, endpoint, _ = box_with((FOREVER, 3))
-    box.control.call_limit.set_bounds(0.2, 2.0)  # bounds of a share of the calls divided among many instances
-    driver = SimpleNamespace(lock=threading.Lock(), control=box.control, settings=box.settings, steer=None)
-    manager = RecoveryManager(driver, ["a"], 12, None, 0, 1, 1, lambda: box.now, Counters(), None)
-    assert driver.steer is manager and manager.limit_expires_at > 1 << 60
-    limiter.update_limit(box.control, box.now)
-    box.control.call_limit.value = 3.0  # the learned limit is the whole allocation
+    harness, limiter, endpoint, _ = harness_with((FOREVER, 3))
+    harness.control.call_limit.set_bounds(0.2, 2.0)  # bounds of a share of the calls divided among many instances
+    driver = SimpleNamespace(lock=threading.Lock(), control=harness.control, settings=harness.settings, recovery=None)
+    manager = RecoveryManager(driver, ["a"], 12, None, 0, 1, 1, lambda: harness.now, Counters(), None)
+    assert driver.recovery is manager and manager.limit_expires_at > 1 << 60
+    limiter.update_limit(harness.control, harness.now)
+    harness.control.call_limit.value = 3.0  # the learned limit is the whole allocation
     manager.set_call_limiter(limiter)
     endpoint.steps = {"calls": ((99 * SECOND, 9), (FOREVER, 1))}
     for _ in range(3):
-        box.now += TICK
-        manager.tick(box.control, 0, box.now)
-        box.flush()
-    assert box.control.state_counts[CALLING] == 9 and manager.limit_expires_at == 99 * SECOND
-    box.now = 100 * SECOND
-    manager.update_limit(box.control, box.now)
-    assert box.control.call_limit.value <= 1 and manager.limit_expires_at == FOREVER
+        harness.now += TICK
+        manager.tick(harness.control, 0, harness.now)
+        harness.flush()
+    assert harness.control.state_counts[CALLING] == 9 and manager.limit_expires_at == 99 * SECOND
+    harness.now = 100 * SECOND
+    manager.update_limit(harness.control, harness.now)
+    assert harness.control.call_limit.value <= 1 and manager.limit_expires_at == FOREVER
