--- a/hollystage/cli.py
+++ b/hollystage/cli.py
@@ -19,7 +19,7 @@
 SIGNAL_WAIT_S, DRAIN_POLL_S = 3600, 0.01  # wait for a signal; interval of checks whether the drain has finished
 
 app = typer.Typer(add_completion=False, no_args_is_help=True, pretty_exceptions_enable=False,
-                  help="Admission and scheduling inside servers behind other people's balancers.")
+                  help="Admission control and scheduling inside servers behind third-party load balancers.")
 ConfigPath = Annotated[str, typer.Option("--config", envvar="PROXY_CONFIG", help="The platform's JSON file.")]
 PlanPath = Annotated[str, typer.Option("--plan", envvar="HOLLYSTAGE_PLAN",
                                        help="A plan: a script, or the output of `config build`.")]
