--- a/hollystage/decisions/membership/gossip.py
+++ b/hollystage/decisions/membership/gossip.py
@@ -16,7 +16,7 @@
 
     def __init__(self, retransmit_factor: int) -> None:
         self.retransmit_factor = retransmit_factor
-        self.by_transmissions: list[dict[str, Update]] = [{}]  # index: how often they were sent
+        self.by_transmissions: list[dict[str, Update]] = [{}]  # by how often they were sent
         self.transmissions: dict[str, int] = {}  # how often the update about a member was sent
 
     def __len__(self) -> int:
@@ -39,12 +39,13 @@
         if sent is not None:
             del self.by_transmissions[sent][name]
 
-    def take(self, room: int, members: int, first: Update | None = None) -> list[Update]:
-        """Selects updates that fit into `room` bytes. `first` precedes them; sending it is not counted."""
+    def take(self, max_bytes: int, members: int, first: Update | None = None) -> list[Update]:
+        """Selects updates that fit into `max_bytes`. `first` precedes them; sending it is not counted."""
         chosen: list[Update] = []
+        remaining = max_bytes
         skipped_name = ""
         if first is not None:
-            room -= max_encoded_size(first)
+            remaining -= max_encoded_size(first)
             chosen.append(first)
             skipped_name = first.record.name
         limit, counted = self.max_transmissions(members), []
@@ -52,9 +53,9 @@
             for name, update in updates.items():
                 if name == skipped_name:
                     continue
-                if max_encoded_size(update) > room:
+                if max_encoded_size(update) > remaining:
                     break
-                room -= max_encoded_size(update)
+                remaining -= max_encoded_size(update)
                 chosen.append(update)
                 counted.append((sent, name, update))
             else:
--- a/hollystage/decisions/membership/members.py
+++ b/hollystage/decisions/membership/members.py
@@ -44,9 +44,11 @@
 class Members(FailureDetector):
     """One process's view; `me` is its own record, `configured_peers` the addresses from the plan."""
 
-    def __init__(self, me: Record, configured_peers: Iterable[str], parameters: Parameters, seed: int, now: int) -> None:
+    def __init__(self, me: Record, configured_peers: Iterable[str], parameters: Parameters, seed: int,
+                 now: int) -> None:
         super().__init__(me, configured_peers, parameters, seed, now)
-        for interval, callback in ((parameters.probe_period, self._probe), (parameters.lost_probe_period, self._probe_lost),
+        for interval, callback in ((parameters.probe_period, self._probe),
+                                   (parameters.lost_probe_period, self._probe_lost),
                                    (self._sync_interval(), self._periodic_sync),
                                    (parameters.tombstone_lifetime // 8, self._remove_tombstones)):
             self._schedule(now + int(interval * self.rng.random()) + 1, callback, None)
@@ -56,7 +58,7 @@
     # Input
 
     def start(self, now: int) -> None:
-        """Starts the clock: the time between construction and the first tick does not count as a pause."""
+        """Starts the clock, so that the time between construction and the first tick does not count as a pause."""
         self.now, self.stall_detector.due = now, 0
 
     def tick(self, now: int) -> None:
@@ -78,7 +80,8 @@
             return
         known = self.records.get(sender.name)
         if known is not None and known.process > sender.process:
-            # the sender was replaced by a later process and does not know it: ignore its updates, send it our record
+            # the sender does not know that a later process replaced it: ignore its updates, but answer its ping, as
+            # it can learn about the later process from the updates in the answer
             self.counts["older_boot"] += 1
             if isinstance(message, Ping):
                 self._send(sender.address, Ack(message.seq, self.me.name), known)
@@ -105,7 +108,7 @@
                     probe.nacks += 1
 
     def set_status(self, status: MemberStatus, now: int) -> None:
-        """Publishes a new status of this process if it differs from the current one; sets its version."""
+        """Publishes a new status of this process, with the next version, if it differs from the current one."""
         self.now = now
         if msgspec.structs.replace(status, version=self.me.status.version) != self.me.status:
             self.me = msgspec.structs.replace(
@@ -126,7 +129,7 @@
         self.stopped = True
 
     def view(self, now: int) -> View:
-        """Returns a snapshot of all records."""
+        """Returns a snapshot of all records and clears `view_changed`."""
         self.view_changed = False
         return View(now, self.me, dict(self.records), self.unconfirmed is None, self.ousted)
 
@@ -170,18 +173,18 @@
             self._apply_record(record, record.name, True)
         self._mark_fresh()
         if self.new_processes > before:
-            self._schedule_early_sync()  # many members started, or were partitioned off, at the same time
+            self._schedule_early_sync()  # many members started, or a partition was healed
         if not self.joined and self.living:
             self.joined = True
             self._record_event("joined", self.me.name, f"{len(self.living)} others")
 
     def sync_failed(self, address: str, now: int) -> None:
-        """Reports that a requested sync failed."""
+        """Called when a sync that was requested by a StartSync failed."""
         self.now = now
         self.counts["exchanges_failed"] += 1
 
     def _checksums(self) -> list[int]:
-        """Returns one checksum for each bucket, over the live members in it. Their order does not matter."""
+        """Returns one checksum for each bucket, over its live members in any order."""
         checksums = [0] * SYNC_BUCKETS
         for record in (self.me, *self.records.values()):
             if record.living:
@@ -201,7 +204,8 @@
         if self.joined or not self.configured_peers or self.ousted:
             return
         if attempt and attempt % len(self.configured_peers) == 0 and not self.living:
-            self._record_event("alone", self.me.name, f"none of {len(self.configured_peers)} configured peers answers")
+            self._record_event("alone", self.me.name,
+                               f"none of {len(self.configured_peers)} configured peers answers")
         if attempt % len(self.configured_peers) == 0:
             self.rng.shuffle(self.configured_peers)
         self._start_sync(self.configured_peers[attempt % len(self.configured_peers)])
@@ -214,26 +218,28 @@
 
     def _periodic_sync(self, _: None) -> None:
         """Timer: requests a sync with a random live member."""
-        self._schedule(self.now + int(self._sync_interval() * (0.75 + 0.5 * self.rng.random())), self._periodic_sync, None)
+        delay = int(self._sync_interval() * (0.75 + 0.5 * self.rng.random()))
+        self._schedule(self.now + delay, self._periodic_sync, None)
         if self.living:
             self._start_sync(self.records[self.rng.choice(self.living)].address)
 
     def _schedule_early_sync(self) -> None:
-        """Schedules a sync out of turn; gossip, with a few updates in each datagram, would take long."""
+        """Schedules a sync before the next periodic one, as gossip takes long with a few updates per datagram."""
         if not self.sync_scheduled:
             self.sync_scheduled = True
             min_delay = max(self.parameters.min_sync_interval, len(self.living) * 5_000)
             self._schedule(self.now + int(min_delay * (1 + self.rng.random())), self._early_sync, None)
 
     def _early_sync(self, _: None) -> None:
-        """Timer: requests a sync with a random live member, out of turn."""
+        """Timer: requests the early sync with a random live member."""
         self.sync_scheduled = False
         if self.living:
             self._start_sync(self.records[self.rng.choice(self.living)].address)
 
     def _probe_lost(self, _: None) -> None:
         """Timer: pings one lost member, or one configured address where no live member is known."""
-        self._schedule(self.now + int(self.parameters.lost_probe_period * (0.5 + self.rng.random())), self._probe_lost, None)
+        delay = int(self.parameters.lost_probe_period * (0.5 + self.rng.random()))
+        self._schedule(self.now + delay, self._probe_lost, None)
         if self.ousted:
             return
         lost = [record for name in self.gone if (record := self.records[name]).belief == Belief.LOST]
@@ -246,9 +252,10 @@
             self._send(unknown[index - len(lost)], Ping(self.seq))
 
     def _remove_tombstones(self, _: None) -> None:
-        """Timer: removes members that have been gone for the lifetime of a tombstone."""
+        """Timer: removes members that have been lost or left for `tombstone_lifetime`, and resets `boot_raises`."""
         self._schedule(self.now + self.parameters.tombstone_lifetime // 8, self._remove_tombstones, None)
-        for name in [name for name, since in self.gone.items() if self.now - since >= self.parameters.tombstone_lifetime]:
+        for name in [name for name, since in self.gone.items()
+                     if self.now - since >= self.parameters.tombstone_lifetime]:
             del self.gone[name], self.records[name]
             self.updates.drop(name)
             self.view_changed = True
--- a/hollystage/decisions/membership/probing.py
+++ b/hollystage/decisions/membership/probing.py
@@ -30,7 +30,8 @@
     def __init__(self, me: Record, configured_peers: Any, parameters: Parameters, seed: int, now: int) -> None:
         super().__init__(me, configured_peers, parameters, seed, now)
         self.probes: dict[int, Probe] = {}
-        self.relays: dict[int, tuple[str, int]] = {}  # address of the requester and its sequence number
+        # indirect probes for others, by our sequence number: address of the requester and its sequence number
+        self.relays: dict[int, tuple[str, int]] = {}
 
     def _probe(self, _: None) -> None:
         """Timer: pings the next member of this round."""
@@ -43,8 +44,10 @@
         self.seq += 1
         self.probes[self.seq] = Probe(target.name, target.process, target.address)
         self._send(target.address, Ping(self.seq, target.name), target)
-        self._schedule(self.now + self.local_health.scale(self.parameters.ack_timeout), self._probe_indirectly, self.seq)
-        self._schedule(self.now + self.local_health.scale(self.parameters.probe_period) - 1, self._probe_failed, self.seq)
+        ack_timeout = self.local_health.scale(self.parameters.ack_timeout)
+        self._schedule(self.now + ack_timeout, self._probe_indirectly, self.seq)
+        probe_period = self.local_health.scale(self.parameters.probe_period)
+        self._schedule(self.now + probe_period - 1, self._probe_failed, self.seq)
 
     def _next_target(self) -> Record | None:
         """Returns the next live member of this round; shuffles all members for a new round when one ends."""
@@ -60,14 +63,14 @@
         return None
 
     def _probe_indirectly(self, seq: int) -> None:
-        """Timer: no answer within the ack timeout. Pings once more and asks helpers to probe the member."""
+        """Timer: no answer within the ack timeout. Pings again and asks helpers to probe the member."""
         probe = self.probes.get(seq)
         if probe is None:
             return
         record = self.records.get(probe.name)
         self._send(probe.address, Ping(seq, probe.name), record)  # a single datagram may have been lost
         helpers = [name for name in self._sample(2 * self.parameters.indirect_probes + 1) if name != probe.name]
-        # suspects last: their missing answers would be taken for a problem of this process
+        # suspects last: a missing Nack of theirs would count as a problem of this process
         helpers.sort(key=lambda name: name in self.suspects)
         for name in helpers[:self.parameters.indirect_probes]:
             probe.helpers_asked += 1
@@ -83,7 +86,7 @@
         if probe is None:
             return
         self.counts["probes_failed"] += 1
-        # helpers that send not even a Nack: the problem may be on the side of this process
+        # if helpers do not even send a Nack, the problem may be on the side of this process
         self.local_health.adjust(probe.helpers_asked - probe.nacks if probe.helpers_asked else 1)
         record = self.records.get(probe.name)
         if record is None or record.process != probe.process or not record.living:
@@ -103,7 +106,7 @@
             del self.probes[message.seq]
             self.local_health.adjust(-1)
             if self.unconfirmed is not None:
-                # only answers to probes sent after the pause count: what waited in the socket during it is not fresh
+                # the pause cleared all probes: only answers to later ones count, not those queued in the socket
                 self.unconfirmed.discard(message.name)
                 if 2 * len(self.unconfirmed) <= len(self.living):
                     self._mark_fresh()
@@ -125,23 +128,24 @@
             self._send(relay[0], Nack(relay[1]))
 
     def _check_stall(self, now: int) -> None:
-        """Detects a pause of this process and discards what it cannot trust after it.
+        """Detects a pause of this process and discards the state that is unreliable after it.
 
         Unanswered probes may be due to the pause itself, and the view is out of date. This process suspects nobody
-        until it has had time to hear from the other members.
+        until the other members have had time to answer.
         """
-        late = self.stall_detector.on_timer(now, max(0, self.next_at - now))
+        pause = self.stall_detector.on_timer(now, max(0, self.next_at - now))
         self.now = max(self.now, now)
-        if not late:
+        if not pause:
             return
         self.counts["slept"] += 1
         self.local_health.adjust(1)
         self.probes.clear()
         self.relays.clear()
-        self.mute_until = max(self.mute_until, now + 2 * self.parameters.probe_period + min(late, 4 * self.parameters.probe_period))
-        if late >= self.parameters.probe_period:
-            self._record_event("slept", self.me.name, f"{late // 1000} ms")
+        period = self.parameters.probe_period
+        self.mute_until = max(self.mute_until, now + 2 * period + min(pause, 4 * period))
+        if pause >= period:
+            self._record_event("slept", self.me.name, f"{pause // 1000} ms")
             self.unconfirmed = set(self.living)
             self.view_changed = True
-            if self.living and late >= 4 * self.parameters.probe_period and now - self.last_sync_at >= self.parameters.min_sync_interval:
+            if self.living and pause >= 4 * period and now - self.last_sync_at >= self.parameters.min_sync_interval:
                 self._start_sync(self.records[self.rng.choice(self.living)].address)
--- a/hollystage/decisions/membership/records.py
+++ b/hollystage/decisions/membership/records.py
@@ -4,7 +4,7 @@
 publishes about itself. Gossip and full syncs carry nothing but records.
 
 Two records of a member are compared by a tuple (`Record.precedence`). A later boot wins over an earlier one,
-whatever was reported about the earlier; within a boot the higher incarnation wins, which only the process itself
+whatever was reported about the earlier one; within a boot the higher incarnation wins, which only the process itself
 raises; within an incarnation the worse belief wins. Neither the order of arrival nor repetition changes the final
 view of a member.
 """
@@ -65,7 +65,7 @@
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One process. `birth` is a random 62-bit number that tells processes with equal name and boot number apart."""
+    """One process. `birth` is a random 62-bit number that distinguishes processes with equal name and boot number."""
 
     name: str
     zone: str
@@ -78,12 +78,12 @@
 
     @property
     def process(self) -> tuple[int, int]:
-        """Orders the processes of one name: the later one is greater."""
+        """Orders the processes with the same name: the later one is greater."""
         return self.boot, self.birth
 
     @property
     def precedence(self) -> tuple[int, int, int, int]:
-        """The greater record wins. LEFT is published by the process itself, so that no incarnation comes after it."""
+        """The greater one wins. LEFT wins over any incarnation, as the process itself publishes it."""
         left = self.belief == Belief.LEFT
         return self.boot, self.birth, (1 << 62) if left else self.incarnation, self.belief
 
@@ -98,7 +98,7 @@
             9 * len(self.status.generations))
 
     def is_valid(self) -> bool:
-        """Returns whether all fields are within the bounds that senders must keep."""
+        """Returns whether all fields are within the bounds that every sender must observe."""
         status = self.status
         return (_valid_identity(self.name, self.zone, self.address) and 0 <= self.boot < 1 << 62
                 and 0 <= self.birth < 1 << 62 and 0 <= self.incarnation < 1 << 61 and 0 <= self.belief <= 3
@@ -111,7 +111,7 @@
 
 @lru_cache(maxsize=4096)
 def _valid_identity(name: str, zone: str, address: str) -> bool:
-    """Keeps names that a modified peer might send out of logs and tables."""
+    """Returns whether the strings are well-formed; a modified peer could send any text, which would get into logs."""
     return bool(match_name(name) and (not zone or match_name(zone)) and match_address(address))
 
 
@@ -125,8 +125,8 @@
 class View(NamedTuple):
     """An immutable snapshot of one member's records, which is read without a lock.
 
-    `fresh`: whether the view was refreshed after the last pause of the process. `ousted`: whether a later process has
-    its name.
+    `fresh`: whether the view was confirmed by other members since the last pause of the process. `ousted`: whether a
+    later process has its name.
     """
 
     taken_at: int
--- a/hollystage/decisions/membership/replay.py
+++ b/hollystage/decisions/membership/replay.py
@@ -13,7 +13,7 @@
 
 K = TypeVar("K")
 V = TypeVar("V")
-WINDOW_SIZE = 1024  # counters behind the highest one that are still accepted, for datagrams that arrive out of order
+WINDOW_SIZE = 1024  # counters behind the highest that are still accepted, as datagrams may arrive out of order
 
 
 class Verdict(Enum):
@@ -36,7 +36,7 @@
         """Returns whether the counter is new and within the window, and marks it as seen.
 
         >>> window = ReplayWindow()
-        >>> [window.take(n) for n in (5, 7, 5, 6, 6, 7 + WINDOW_SIZE, 7, 8)]
+        >>> [window.accept(n) for n in (5, 7, 5, 6, 6, 7 + WINDOW_SIZE, 7, 8)]
         [True, True, False, True, False, True, False, True]
         """
         ahead = counter - self.highest
@@ -63,8 +63,9 @@
         self.counter = 0
 
     def admit(self, birth: int, counter: int, receiver_session: int) -> Verdict:
-        """Checks an envelope of the sender with this birth number."""
-        if receiver_session != self.session and (not self.previous_session or receiver_session != self.previous_session):
+        """Checks an envelope. `birth`: of the sending process. `receiver_session`: the session that it named."""
+        if receiver_session != self.session and (
+                not self.previous_session or receiver_session != self.previous_session):
             return Verdict.UNBOUND
         window = _touch(self.windows, (birth, receiver_session), self.max_entries)
         if window is None:
@@ -95,23 +96,23 @@
         return self.counter
 
 
-def _touch(table: OrderedDict[K, V], key: K, most: int) -> V | None:
-    """Returns the value and marks it as the most recently used; for a missing key, makes room in a full table."""
+def _touch(table: OrderedDict[K, V], key: K, max_entries: int) -> V | None:
+    """Returns the value and marks it as the most recently used; if the key is missing, evicts from a full table."""
     value = table.get(key)
     if value is not None:
         table.move_to_end(key)
-    elif len(table) >= most:
+    elif len(table) >= max_entries:
         table.popitem(last=False)
     return value
 
 
 class RateLimiter:
-    """Token bucket for work that any remote party can cause: `rate` a second, with bursts of the same size.
+    """Token bucket for work that any remote party can cause: `rate` per second, with bursts of the same size.
 
     Times are in microseconds.
 
     >>> limiter = RateLimiter(2)
-    >>> [limiter.take(now) for now in (0, 1, 2, 500_002, 500_003)]
+    >>> [limiter.try_acquire(now) for now in (0, 1, 2, 500_002, 500_003)]
     [True, True, False, True, False]
     """
 
--- a/hollystage/decisions/membership/state.py
+++ b/hollystage/decisions/membership/state.py
@@ -20,22 +20,23 @@
 from .records import Belief, Record, Update, merge
 from .suspicion import LocalHealth, Suspicion, min_suspicion_time
 
-MAX_RECORD_BYTES = 880  # bytes of a datagram for records; the rest is for headers, the message and the hash
-MAX_BOOT_RAISES = 4  # times that a process may raise its boot number between two cleanups of tombstones
+DATAGRAM_RECORD_BYTES = 880  # of a datagram, available for records; the rest is for headers, the message and the hash
+MAX_BOOT_RAISES = 4  # how often a process may raise its boot number until the next removal of tombstones
 MAX_EVENTS = 1_000  # further events are dropped until the pending ones are taken
 
 
 class MembershipState:
     """One process's records and timers; `me` is its own record, `configured_peers` the addresses from the plan."""
 
-    def __init__(self, me: Record, configured_peers: Iterable[str], parameters: Parameters, seed: int, now: int) -> None:
+    def __init__(self, me: Record, configured_peers: Iterable[str], parameters: Parameters, seed: int,
+                 now: int) -> None:
         self.me, self.parameters, self.rng, self.now = me, parameters, random.Random(seed), now
         self.configured_peers = [address for address in configured_peers if address != me.address]
         self.records: dict[str, Record] = {}
         self.living: list[str] = []  # names of live members, in arbitrary order
         self.probe_queue: list[str] = []  # names to probe in this round, the next one last
         self.suspects: dict[str, Suspicion] = {}
-        self.gone: dict[str, int] = {}  # lost and left members, and since when
+        self.gone: dict[str, int] = {}  # lost and left members, and the time at which they became so
         self.name_by_address: dict[str, str] = {}  # of live members
         self.updates = UpdateQueue(parameters.retransmit_factor)
         self.local_health = LocalHealth(parameters.max_health_score)
@@ -44,8 +45,8 @@
         self.events: list[Event] = []
         self.counts: Counter[str] = Counter()
         self.stall_detector = StallDetector(parameters.ack_timeout // 2)
-        self.mute_until = now  # no suspicions of others before this time
-        self.unconfirmed: set[str] | None = None  # live members not heard from since a pause; None if the view is fresh
+        self.mute_until = now  # this process accuses no member before this time
+        self.unconfirmed: set[str] | None = None  # live members without an answer since a pause; None: view is fresh
         self.joined = self.ousted = self.stopped = self.sync_scheduled = False
         self.view_changed = True  # since the view was last taken
         self.last_sync_at = now - parameters.min_sync_interval
@@ -95,7 +96,7 @@
         self.updates.add(Update(winner, reporter))
 
     def _handle_change(self, old: Record, new: Record, reporter: str) -> None:
-        """Handles a changed belief about a member, or another process with its name."""
+        """Handles a changed belief about a member, or a new process with its name."""
         name, other_process = new.name, new.process != old.process
         if new.belief != Belief.SUSPECT:
             self.suspects.pop(name, None)
@@ -105,7 +106,8 @@
             case Belief.ALIVE:
                 if old.belief != Belief.ALIVE and not other_process:
                     self._record_event("refuted" if old.belief == Belief.SUSPECT else "back", name, f"by {reporter}")
-                if not old.living and not other_process and self.now - self.last_sync_at >= self.parameters.min_sync_interval:
+                sync_allowed = self.now - self.last_sync_at >= self.parameters.min_sync_interval
+                if not old.living and not other_process and sync_allowed:
                     # a lost member is alive: a partition separated us from it, and most likely from others
                     self._start_sync(new.address)
             case Belief.SUSPECT:
@@ -116,7 +118,7 @@
                 self._record_event("left", name)
 
     def _store(self, record: Record) -> None:
-        """Stores a record and updates all tables by name and address. No other method changes them."""
+        """Stores a record and updates the tables of live and gone members. No other method adds to them."""
         old = self.records.get(record.name)
         self.records[record.name] = record
         self.view_changed = True
@@ -125,7 +127,7 @@
             self.name_by_address[record.address] = record.name
             if old is None or not old.living:
                 self.living.append(record.name)
-                # at a random place of this round, so that many new members are not all probed at the same time
+                # at a random position of this round, so that many new members are not all probed at the same time
                 self.probe_queue.insert(self.rng.randint(0, len(self.probe_queue)), record.name)
         else:
             self.gone.setdefault(record.name, self.now)
@@ -137,8 +139,9 @@
                     self.unconfirmed.discard(record.name)
 
     def _start_suspicion(self, record: Record, reporter: str) -> None:
-        """Starts the suspicion timeout of a member; starts it again for a suspicion of a higher incarnation."""
-        min_time = min_suspicion_time(self.parameters.suspicion_factor, len(self.living) + 1, self.parameters.probe_period)
+        """Starts the suspicion timeout of a member; a suspicion of a higher incarnation restarts it."""
+        min_time = min_suspicion_time(self.parameters.suspicion_factor, len(self.living) + 1,
+                                      self.parameters.probe_period)
         suspicion = Suspicion(self.now, reporter, min_time, int(min_time * self.parameters.max_suspicion_ratio),
                               min(self.parameters.confirmations, len(self.living) - 1))
         self.suspects[record.name] = suspicion
@@ -146,14 +149,14 @@
         self._schedule(suspicion.expires_at, self._suspicion_expired, record.name)
 
     def _confirm_suspicion(self, record: Record, reporter: str) -> None:
-        """Shortens the suspicion timeout: another member got no answer either."""
+        """Shortens the suspicion timeout: another member got no answer from the suspect either."""
         suspicion = self.suspects.get(record.name)
         if suspicion is not None and suspicion.confirm(reporter):
             self.updates.add(Update(record, reporter))
             self._schedule(suspicion.expires_at, self._suspicion_expired, record.name)
 
     def _suspicion_expired(self, name: str) -> None:
-        """Timer: declares a suspect lost once its timeout has expired and this process may accuse others."""
+        """Timer: declares a suspect lost once its timeout has expired and `mute_until` has passed."""
         suspicion = self.suspects.get(name)
         if suspicion is None:
             return
@@ -220,14 +223,15 @@
     def _send(self, address: str, message: Message, receiver: Record | None = None) -> None:
         """Queues a message together with gossip.
 
-        `receiver`: our record of the receiver. If it is accused, that record is sent first, so that it can refute it.
+        `receiver`: our record of the receiver. If it is not ALIVE, it is sent first, so that the receiver can
+        refute it.
         """
         first = Update(receiver, self.me.name) if receiver is not None and receiver.belief != Belief.ALIVE else None
         suspicion = self.suspects.get(receiver.name) if receiver is not None else None
         if first is not None and suspicion is not None:
             first = Update(first.record, suspicion.accusers[0])
-        room = MAX_RECORD_BYTES - self.me.max_encoded_size()
-        self.actions.append(Send(address, message, self.updates.take(room, len(self.living) + 1, first)))
+        max_bytes = DATAGRAM_RECORD_BYTES - self.me.max_encoded_size()
+        self.actions.append(Send(address, message, self.updates.take(max_bytes, len(self.living) + 1, first)))
 
     def _start_sync(self, address: str) -> None:
         """Requests a full sync with the process at this address."""
--- a/hollystage/decisions/membership/suspicion.py
+++ b/hollystage/decisions/membership/suspicion.py
@@ -24,7 +24,8 @@
     __slots__ = ("started_at", "min_time", "max_time", "confirmations_needed", "accusers")
 
     def __init__(self, started_at: int, accuser: str, min_time: int, max_time: int, confirmations: int) -> None:
-        self.started_at, self.min_time, self.max_time, self.confirmations_needed = started_at, min_time, max_time, confirmations
+        self.started_at, self.min_time, self.max_time = started_at, min_time, max_time
+        self.confirmations_needed = confirmations
         self.accusers = [accuser]  # the first accuser, then those that confirmed
 
     @property
@@ -32,8 +33,8 @@
         """The time at which the suspect is declared lost, with the confirmations so far."""
         if self.confirmations_needed <= 0:
             return self.started_at + self.min_time
-        share = log(len(self.accusers)) / log(self.confirmations_needed + 1)
-        return self.started_at + max(self.min_time, int(self.max_time - (self.max_time - self.min_time) * share))
+        fraction = log(len(self.accusers)) / log(self.confirmations_needed + 1)
+        return self.started_at + max(self.min_time, int(self.max_time - (self.max_time - self.min_time) * fraction))
 
     def confirm(self, accuser: str) -> bool:
         """Adds an accuser; returns whether it is a new one that shortens the timeout."""
