--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -50,7 +50,8 @@
 def test_encoded_record_is_never_larger_than_its_bound(original, extra, generations):
     big = msgspec.structs.replace(original, name="n" * 64, zone="z" * 64, boot=(1 << 62) - 1,
                                   incarnation=(1 << 61) - 1,
-                                  digest=MemberStatus((1 << 62) - 1, 4, (1 << 32) - 1, tuple(generations), 1 << 39, extra))
+                                  status=MemberStatus((1 << 62) - 1, 4, (1 << 32) - 1, tuple(generations), 1 << 39,
+                                                      extra))
     assert big.is_valid() and len(msgspec.msgpack.encode(big)) <= big.max_encoded_size()
     assert len(msgspec.msgpack.encode(Update(big, "x" * 64))) <= max_encoded_size(Update(big, "x" * 64))
 
@@ -58,7 +59,8 @@
 @pytest.mark.parametrize("change", [
     {"name": "a b"}, {"name": ""}, {"name": "x" * 65}, {"name": "a\nb"}, {"zone": "{}"}, {"address": "localhost:80"},
     {"address": "1.2.3.4"}, {"boot": -1}, {"boot": 1 << 63}, {"belief": 4}, {"incarnation": 1 << 62},
-    {"digest": MemberStatus(stage=9)}, {"digest": MemberStatus(extra=bytes(65))}, {"digest": MemberStatus(generations=(1,) * 9)}])
+    {"status": MemberStatus(stage=9)}, {"status": MemberStatus(extra=bytes(65))},
+    {"status": MemberStatus(generations=(1,) * 9)}])
 def test_record_out_of_bounds_is_invalid(change):
     assert record().is_valid() and not msgspec.structs.replace(record(), **change).is_valid()
 
@@ -131,7 +133,7 @@
 
 
 def test_view_and_tombstones_are_bounded():
-    members = make_members(most=20, tombstone=SECOND)
+    members = make_members(max_members=20, tombstone_lifetime=SECOND)
     members.handle_sync_response(SyncResponse([], [record(f"m{n}", host=n) for n in range(3, 99)]), 10)
     assert len(members.records) == 20 and members.counts["full"] == 76
     for name in list(members.records):
@@ -145,68 +147,69 @@
 
 # Simulated fleets in virtual time
 
-def events_of(twin, kind, ignored=()):
-    return [event for event in twin.events if event[2] == kind and event[3] not in ignored]
+def events_of(fleet, kind, ignored=()):
+    return [event for event in fleet.events if event[2] == kind and event[3] not in ignored]
 
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 def test_three_killed_of_twelve_are_detected_and_no_other(seed, loss):
-    twin = FleetSimulation(12, seed)
-    assert twin.run_until_agreed(20) is not None
-    names = list(twin.nodes)
+    fleet = FleetSimulation(12, seed)
+    assert fleet.run_until_agreed(20) is not None
+    names = list(fleet.nodes)
     if loss:
-        twin.apply(Fault(0, "lose", names, amount=loss))
-        twin.run(5)
-    twin.apply(Fault(0, "kill", names[4:7]))
-    assert twin.run_until_agreed(25) is not None
+        fleet.apply(Fault(0, "lose", names, amount=loss))
+        fleet.run(5)
+    fleet.apply(Fault(0, "kill", names[4:7]))
+    assert fleet.run_until_agreed(25) is not None
     if not loss:
-        assert not twin.false_accusations
+        assert not fleet.false_accusations
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_partition_heals(seed):
-    twin = FleetSimulation(12, seed)
-    names = list(twin.nodes)
-    assert twin.run_until_agreed(20) is not None
-    twin.apply(Fault(0, "cut", names[:6], names[6:], both=True))
-    twin.run(16)
-    assert all(len(node.members.living) == 5 for node in twin.nodes.values())
-    twin.apply(Fault(0, "heal", names[:6], names[6:], both=True))
-    assert twin.run_until_agreed(20) is not None
+    fleet = FleetSimulation(12, seed)
+    names = list(fleet.nodes)
+    assert fleet.run_until_agreed(20) is not None
+    fleet.apply(Fault(0, "cut", names[:6], names[6:], both=True))
+    fleet.run(16)
+    assert all(len(node.members.living) == 5 for node in fleet.nodes.values())
+    fleet.apply(Fault(0, "heal", names[:6], names[6:], both=True))
+    assert fleet.run_until_agreed(20) is not None
 
 
 def test_mass_restart_and_start_while_configured_peers_are_down():
-    twin = FleetSimulation(12, 3)
-    names = list(twin.nodes)
-    assert twin.run_until_agreed(20) is not None
-    twin.apply(Fault(0, "kill", names[:9]))
-    twin.run(1)
-    twin.apply(Fault(0, "start", names[:9]))
-    assert twin.run_until_agreed(20) is not None
-    twin.apply(Fault(0, "kill", names))
-    twin.apply(Fault(0, "start", names[3:]))  # the first three are the configured peers
-    twin.run(20)
-    assert not any(node.members.living for node in twin.nodes.values() if node.up)
-    assert events_of(twin, "alone")
-    twin.apply(Fault(0, "start", names[:1]))
-    assert twin.run_until_agreed(30) is not None
+    fleet = FleetSimulation(12, 3)
+    names = list(fleet.nodes)
+    assert fleet.run_until_agreed(20) is not None
+    fleet.apply(Fault(0, "kill", names[:9]))
+    fleet.run(1)
+    fleet.apply(Fault(0, "start", names[:9]))
+    assert fleet.run_until_agreed(20) is not None
+    fleet.apply(Fault(0, "kill", names))
+    fleet.apply(Fault(0, "start", names[3:]))  # the first three are the configured peers
+    fleet.run(20)
+    assert not any(node.members.living for node in fleet.nodes.values() if node.up)
+    assert events_of(fleet, "alone")
+    fleet.apply(Fault(0, "start", names[:1]))
+    assert fleet.run_until_agreed(30) is not None
 
 
 def test_suspended_member_suspects_nobody_and_recovers():
-    twin = FleetSimulation(12, 5)
-    assert twin.run_until_agreed(20) is not None
-    twin.apply(Fault(0, "pause", ["m4"], amount=3.0))
-    twin.run(3.0)
-    suspended = twin.nodes["m4"].members
-    assert suspended.counts["event_slept"] == 1 and not suspended.view(twin.clock.now).fresh
-    twin.run(10)
-    assert not [e for e in twin.events if e[1] == "m4" and e[2] in ("suspect", "lost")]
-    assert suspended.view(twin.clock.now).fresh and twin.views_agree()
+    fleet = FleetSimulation(12, 5)
+    assert fleet.run_until_agreed(20) is not None
+    fleet.apply(Fault(0, "pause", ["m4"], amount=3.0))
+    fleet.run(3.0)
+    suspended = fleet.nodes["m4"].members
+    assert suspended.counts["event_slept"] == 1 and not suspended.view(fleet.clock.now).fresh
+    fleet.run(10)
+    assert not [e for e in fleet.events if e[1] == "m4" and e[2] in ("suspect", "lost")]
+    assert suspended.view(fleet.clock.now).fresh and fleet.views_agree()
 
 
 def test_history_depends_only_on_the_seed():
-    code = ("from hollystage.standins.fleet.fleet_simulation import FleetSimulation\nfrom hollystage.standins.fleet.faults import Fault\n"
+    code = ("from hollystage.standins.fleet.fleet_simulation import FleetSimulation\n"
+            "from hollystage.standins.fleet.faults import Fault\n"
             "t = FleetSimulation(30, 7)\nt.run(5)\nt.apply(Fault(0, 'kill', ['m3', 'm20']))\n"
             "t.apply(Fault(0, 'lose', list(t.nodes), amount=0.2))\nt.run(10)\nprint(t.trace.hexdigest(), t.messages)")
     outputs = {subprocess.run([sys.executable, "-c", code], env=os.environ | {"PYTHONHASHSEED": seed}, check=True,
@@ -217,16 +220,17 @@
 def test_message_rate_per_member_does_not_grow_with_the_fleet():
     rates = []
     for count in (10, 100):
-        twin = FleetSimulation(count, 1, converged=True)
-        twin.run(10)
-        rates.append((twin.messages / count / 10, twin.bytes / count / 10))
+        fleet = FleetSimulation(count, 1, converged=True)
+        fleet.run(10)
+        rates.append((fleet.messages / count / 10, fleet.bytes / count / 10))
     assert rates[0][0] < 5 and abs(rates[1][0] - rates[0][0]) < 0.5 and rates[1][1] < 1.3 * rates[0][1]
 
 
 def test_leaving_member_is_not_declared_lost():
-    twin = FleetSimulation(8, 2)
-    assert twin.run_until_agreed(20) is not None
-    twin.apply(Fault(0, "term", ["m5"]))
-    assert twin.run_until_agreed(10) is not None and not events_of(twin, "lost") and len(events_of(twin, "left")) == 7
+    fleet = FleetSimulation(8, 2)
+    assert fleet.run_until_agreed(20) is not None
+    fleet.apply(Fault(0, "term", ["m5"]))
+    assert fleet.run_until_agreed(10) is not None
+    assert not events_of(fleet, "lost") and len(events_of(fleet, "left")) == 7
     assert all(node.members.records["m5"].status.stage == Stage.LEFT
-               for node in twin.nodes.values() if node.name != "m5")
+               for node in fleet.nodes.values() if node.name != "m5")
