--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -120,9 +120,11 @@
 
 
 @pytest.mark.parametrize("data, exception", [
-    (b"HTTP/1.1 2x0 OK\r\n\r\n", HttpError), (b"nonsense\r\n\r\n", HttpError), (b"HTTP/1.1 200 OK\r\n\r\n", HttpError),
+    (b"HTTP/1.1 2x0 OK\r\n\r\n", HttpError), (b"nonsense\r\n\r\n", HttpError),
+    (b"HTTP/1.1 200 OK\r\n\r\n", HttpError),
     (b"HTTP/1.1 200 OK\r\nContent-Length: 9000\r\n\r\n", HttpError), (b"x" * 40_000, HttpError),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", IncompleteMessageError), (b"HTTP/1.1 200", IncompleteMessageError), (b"", IncompleteMessageError),
+    (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nab", IncompleteMessageError),
+    (b"HTTP/1.1 200", IncompleteMessageError), (b"", IncompleteMessageError),
 ])
 def test_malformed_or_incomplete_response_raises(data, exception):
     with pytest.raises(exception):
