--- a/hollystage/service/buffers.py
+++ b/hollystage/service/buffers.py
@@ -8,7 +8,8 @@
 from math import ceil
 
 MAX_FREE_BUFFERS = 64  # more buffers, as after a burst of connections, are returned to the system
-BUFFER_BYTES = 16 * 1024  # fits the head and body of the largest message, or an interpreter line with the largest result
+# fits the head and body of the largest message, or an interpreter line with the largest result
+BUFFER_BYTES = 16 * 1024
 
 
 class BufferPool:
--- a/hollystage/service/clients.py
+++ b/hollystage/service/clients.py
@@ -23,7 +23,8 @@
 from .interpreter import InterpreterLink
 from .ledger_client import LedgerClient
 
-FIRST_MESSAGE_TIMEOUT_S = 1.5  # from a connection's start to the end of its first message: bounds silent and slow clients
+# from a connection's start to the end of its first message; closes silent and slow connections
+FIRST_MESSAGE_TIMEOUT_S = 1.5
 # a connection is not evicted before this age; with this share of new connections no established one is evicted
 MIN_CONNECTION_AGE_S, FLOOD_SHARE = 0.3, 0.25
 MESSAGE_TIMEOUT_S = 2.0  # from the first byte of a later message to its last
@@ -47,8 +48,8 @@
 class ClientConnections:
     """Owns the listener and every accepted connection; a connection is served by a thread of its own."""
 
-    def __init__(self, address: Address, names: list[str], driver: Driver, link: InterpreterLink, ledger: LedgerClient,
-                 max_connections: int, pool: BufferPool, counters: Counters, log: Any) -> None:
+    def __init__(self, address: Address, names: list[str], driver: Driver, link: InterpreterLink,
+                 ledger: LedgerClient, max_connections: int, pool: BufferPool, counters: Counters, log: Any) -> None:
         self.driver, self.link, self.ledger, self.pool = driver, link, ledger, pool
         self.counters, self.log = counters, log
         self.methods = dict(zip(names, driver.settings.methods, strict=True))
--- a/hollystage/service/exchange.py
+++ b/hollystage/service/exchange.py
@@ -29,8 +29,8 @@
 class Exchange:
     """One RPC, shared by its thread, the decision module and its run."""
 
-    __slots__ = ("rpc", "request_id", "idempotency_key", "body_digest", "earlier", "mailbox", "has_thread", "run_requested", "run_ended",
-                 "pending_call", "cancel_call")
+    __slots__ = ("rpc", "request_id", "idempotency_key", "body_digest", "earlier", "mailbox", "has_thread",
+                 "run_requested", "run_ended", "pending_call", "cancel_call")
 
     def __init__(self, rpc: Rpc, request_id: str, key: IdempotencyKey | None, body: bytes) -> None:
         self.rpc, self.request_id, self.idempotency_key = rpc, request_id, key
--- a/hollystage/service/http.py
+++ b/hollystage/service/http.py
@@ -174,7 +174,8 @@
 def percent_decode(text: str) -> str:
     """Decodes the percent-encoding of a path segment. Invalid escapes, and text that is not UTF-8, stay as they are.
 
-    >>> percent_decode("find"), percent_decode("zone%20map"), percent_decode("caf%C3%A9"), percent_decode("50%"), percent_decode("%ff"), percent_decode("%2g")
+    >>> (percent_decode("find"), percent_decode("zone%20map"), percent_decode("caf%C3%A9"), percent_decode("50%"),
+    ...  percent_decode("%ff"), percent_decode("%2g"))
     ('find', 'zone map', 'café', '50%', '%ff', '%2g')
     """
     if "%" not in text:
--- a/hollystage/service/idempotency.py
+++ b/hollystage/service/idempotency.py
@@ -25,8 +25,9 @@
 class IdempotencyTable:
     """Maps idempotency keys to runs; times are microseconds."""
 
-    def __init__(self, slack: int) -> None:
-        self.extra_retention = slack  # kept beyond the window for repeats that are not read yet: the longest deadline
+    def __init__(self, extra_retention: int) -> None:
+        # entries are kept beyond the window for repeats that are not read yet; the longest deadline
+        self.extra_retention = extra_retention
         self.entries: dict[IdempotencyKey, Entry] = {}
         self.expiries: list[tuple[int, int, IdempotencyKey]] = []
         self.sequence = 0
@@ -40,10 +41,10 @@
         """Adds an RPC, to be kept for its window and the extra retention time."""
         if exchange.idempotency_key is None:
             return
-        until = now + window + self.extra_retention
-        self.entries[exchange.idempotency_key] = Entry(exchange, until)
+        expires_at = now + window + self.extra_retention
+        self.entries[exchange.idempotency_key] = Entry(exchange, expires_at)
         self.sequence += 1
-        heappush(self.expiries, (until, self.sequence, exchange.idempotency_key))
+        heappush(self.expiries, (expires_at, self.sequence, exchange.idempotency_key))
 
     def remove(self, exchange: Exchange) -> None:
         """Removes the entry of this RPC, if its key still refers to it."""
@@ -56,10 +57,10 @@
         entry = self._entry_of(exchange)
         if entry is None:
             return []
-        entry.result, waiting, entry.waiters = result, entry.waiters, []
+        entry.result, waiters, entry.waiters = result, entry.waiters, []
         if result.outcome is Outcome.MOOT:
             self.remove(exchange)  # it never ran, so a repeat may run
-        return waiting
+        return waiters
 
     def join(self, exchange: Exchange, earlier: Exchange) -> RunResult | None:
         """Returns the result of the earlier RPC's run; if that has not ended, adds a waiter and returns None.
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -12,7 +12,8 @@
 from hollystage.standins.interpreter import Interpreter
 from hollystage.standins.server import ScriptedHttpServer, StandInServer, free_address, reply, wait_until
 
-__all__ = ["ScriptedHttpServer", "ControlHarness", "Caller", "Interpreter", "StandInServer", "ServiceHarness", "reply", "wait_until"]
+__all__ = ["ScriptedHttpServer", "ControlHarness", "Caller", "Interpreter", "StandInServer", "ServiceHarness",
+           "reply", "wait_until"]
 SECOND = 1_000_000
 
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -250,7 +250,8 @@
             if state == WAITING:
                 driver.control.next_call_at = 1 << 62  # no call may start
             harness.interpreter.send_notice("AWAIT", request_ids[0], b"a call")
-        exchange = wait_until(lambda: next((e for e in list(driver.exchanges.values()) if e.rpc.state == state), None))
+        exchange = wait_until(
+            lambda: next((e for e in list(driver.exchanges.values()) if e.rpc.state == state), None))
         if state == CALLING:
             wait_until(lambda: harness.ledger.received)
         with driver.lock:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -165,8 +165,10 @@
         for byte in sent:
             slow.sock.sendall(bytes([byte]))
             time.sleep(0.03)
-        assert (slow.receive().status == 408 if sent else slow.wait_closed()) and 0.3 < time.monotonic() - started_at < 0.7
-        assert established.request().status == 200 and harness.count("clients.slow" if sent else "clients.silent") == 1
+        assert ((slow.receive().status == 408 if sent else slow.wait_closed())
+                and 0.3 < time.monotonic() - started_at < 0.7)
+        assert established.request().status == 200\
+            and harness.count("clients.slow" if sent else "clients.silent") == 1
 
 
 def test_rejects_incomplete_message_and_request_id_in_use():
@@ -451,7 +453,8 @@
             started_at = time.monotonic()
             assert caller.receive().status == 500 and time.monotonic() - started_at < 0.75
         harness.ledger.open[0].settimeout(2)
-        wait_until(lambda: harness.ledger.closed_connections and harness.count("rpc.gone" if how == "gone" else "rpc.aborted"))
+        wait_until(lambda: harness.ledger.closed_connections
+                   and harness.count("rpc.gone" if how == "gone" else "rpc.aborted"))
         harness.interpreter.end(request_id, result="cut")
         wait_until(lambda: not harness.instance.driver.exchanges)
 
