--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,10 +5,10 @@
 
 sys.path.insert(0, os.path.dirname(__file__))
 
-from known_red import KnownRed  # noqa: E402
+from known_red import KnownRedPlugin  # noqa: E402
 
 
 def pytest_configure(config):
     path = os.environ.get("KNOWN_RED")
     if path:
-        config.pluginmanager.register(KnownRed(pathlib.Path(path)))
+        config.pluginmanager.register(KnownRedPlugin(pathlib.Path(path)))
