--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -179,7 +179,7 @@
         assert caller.receive().status == 400 and caller.wait_closed()
         first = harness.caller().send()
         request_id = harness.interpreter.await_runs()[0]
-        assert harness.caller().request(ident=request_id).status == 400
+        assert harness.caller().request(request_id=request_id).status == 400
         harness.interpreter.end(request_id, b"one")
         assert first.receive().body == b"one"
 
@@ -332,7 +332,7 @@
         (request_id,) = harness.interpreter.await_runs()
         harness.interpreter.sock.sendall(line)
         wait_until(lambda: len(harness.interpreter.commands("CONNECT")) == 2)
-        harness.interpreter.notices.last_clear()
+        harness.interpreter.notices.clear()
         harness.instance.link.offset = 0
         harness.interpreter.end(request_id, b"fine")
         assert caller.receive().body == b"fine" and harness.count("interpreter.broken") == 1
@@ -452,7 +452,7 @@
         else:
             started_at = time.monotonic()
             assert caller.receive().status == 500 and time.monotonic() - started_at < 0.75
-        harness.ledger.open[0].settimeout(2)
+        harness.ledger.connections[0].settimeout(2)
         wait_until(lambda: harness.ledger.closed_connections
                    and harness.count("rpc.gone" if how == "gone" else "rpc.aborted"))
         harness.interpreter.end(request_id, result="cut")
@@ -655,7 +655,7 @@
     started.kill()
     started.wait()
     for messages in (harness.interpreter.received, harness.interpreter.notices, harness.control.received):
-        messages.last_clear()
+        messages.clear()
     again = start(tmp_path / "config.json", harness)
     caller = harness.caller().send("booking", **KEY)
     harness.interpreter.end(harness.interpreter.await_runs()[0], b"after")
