--- a/hollystage/service/clients.py
+++ b/hollystage/service/clients.py
@@ -323,19 +323,19 @@
         Raises:
             HttpError: the request is invalid.
         """
-        given, method = parse_rpc_fields(request.fields), self.methods[name]
-        if method.kind is MethodKind.KEYED and given.idempotency_key is None:
+        header, method = parse_rpc_fields(request.fields), self.methods[name]
+        if method.kind is MethodKind.KEYED and header.idempotency_key is None:
             raise HttpError(400, "idempotency-key is missing")
-        unread_time, deadline_ms = time.time_ns() // 1000 - given.start_ms * 1000, method.deadline // 1000
+        unread_time, deadline_ms = time.time_ns() // 1000 - header.start_ms * 1000, method.deadline // 1000
         if not -MAX_CLOCK_AHEAD_MS <= unread_time // 1000 <= deadline_ms + MAX_PAST_DEADLINE_MS:
             raise HttpError(400, "x-request-start is out of range")  # it would distort the learned unread times
-        if given.timeout_ms is not None and given.timeout_ms > MAX_TIMEOUT_DEADLINES * deadline_ms:
+        if header.timeout_ms is not None and header.timeout_ms > MAX_TIMEOUT_DEADLINES * deadline_ms:
             raise HttpError(400, "x-timeout-ms is out of range")
         unread_time = max(0, unread_time)
-        timeout = max(1, given.timeout_ms * 1000 - unread_time) if given.timeout_ms is not None else 0
-        rpc = Rpc(method, given.caller, None, given.memory_kb, timeout, unread_time, given.is_retry)
-        key = (name, given.idempotency_key) if method.kind is MethodKind.KEYED and given.idempotency_key else None
-        exchange = Exchange(rpc, given.request_id, key, request.body if key else b"")
+        timeout = max(1, header.timeout_ms * 1000 - unread_time) if header.timeout_ms is not None else 0
+        rpc = Rpc(method, header.caller, None, header.memory_kb, timeout, unread_time, header.is_retry)
+        key = (name, header.idempotency_key) if method.kind is MethodKind.KEYED and header.idempotency_key else None
+        exchange = Exchange(rpc, header.request_id, key, request.body if key else b"")
         error = self.driver.arrived(exchange)
         if error:
             raise HttpError(400, error)
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -145,7 +145,7 @@
 
 # Shutdown
 
-def drained(harness):
+def start_drain(harness):
     """Starts the drain in a thread and returns the thread."""
     thread = threading.Thread(target=harness.instance.drain)
     thread.start()
@@ -155,17 +155,17 @@
 def test_connection_accepted_during_shutdown_is_served():
     with ServiceHarness() as harness:
         clients, go, accepted = harness.instance.clients, threading.Event(), threading.Event()
-        begin = clients._start_connection
+        start_connection = clients._start_connection
 
         def late(sock):
             accepted.set()
             assert go.wait(5)
-            begin(sock)
+            start_connection(sock)
 
         clients._start_connection = late
         caller = harness.caller().send()
         assert accepted.wait(5)  # not in the table yet
-        drain = drained(harness)
+        drain = start_drain(harness)
         wait_until(lambda: clients.listener.fileno() < 0)
         time.sleep(0.05)
         assert drain.is_alive()
@@ -187,7 +187,7 @@
         caller = harness.caller().send()
         full = failing(clients.listener.accept, OSError(errno.EMFILE, "no descriptor"))
         clients.listener = Proxy(clients.listener, accept=full)
-        drain = drained(harness)
+        drain = start_drain(harness)
         assert caller.receive().status == 200
         drain.join(5)
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -167,8 +167,8 @@
             time.sleep(0.03)
         assert ((slow.receive().status == 408 if sent else slow.wait_closed())
                 and 0.3 < time.monotonic() - started_at < 0.7)
-        assert established.request().status == 200\
-            and harness.count("clients.slow" if sent else "clients.silent") == 1
+        assert (established.request().status == 200
+                and harness.count("clients.slow" if sent else "clients.silent") == 1)
 
 
 def test_rejects_incomplete_message_and_request_id_in_use():
@@ -539,9 +539,9 @@
 def test_idempotency_entry_outlasts_the_window_and_then_expires(age, runs):
     with ServiceHarness() as harness:
         assert harness.caller().request("booking", **KEY).status == 200
-        tokens = harness.instance.driver.idempotency_table
+        table = harness.instance.driver.idempotency_table
         with harness.instance.driver.lock:
-            tokens.expire(time.time_ns() // 1000 + age * 1000)
+            table.expire(time.time_ns() // 1000 + age * 1000)
         assert harness.caller().request("booking", **KEY).status == 200
         assert len(harness.interpreter.commands("APPLY")) == runs
 
@@ -784,7 +784,7 @@
 
 
 CONFIG = {"name": "n3", "listen": "127.0.0.1:65000", "vm": "127.0.0.1:9300", "control": "127.0.0.1:8500",
-         "ledger": "127.0.0.1:7700", "settings": SETTINGS}
+          "ledger": "127.0.0.1:7700", "settings": SETTINGS}
 
 
 @pytest.mark.parametrize("change, words", [
