--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -165,8 +165,10 @@
         for byte in sent:
             slow.sock.sendall(bytes([byte]))
             time.sleep(0.03)
-        assert (slow.receive().status == 408 if sent else slow.wait_closed()) and 0.3 < time.monotonic() - started_at < 0.7
-        assert established.request().status == 200 and harness.count("clients.slow" if sent else "clients.silent") == 1
+        assert ((slow.receive().status == 408 if sent else slow.wait_closed())
+                and 0.3 < time.monotonic() - started_at < 0.7)
+        assert (established.request().status == 200
+                and harness.count("clients.slow" if sent else "clients.silent") == 1)
 
 
 def test_rejects_incomplete_message_and_request_id_in_use():
@@ -177,7 +179,7 @@
         assert caller.receive().status == 400 and caller.wait_closed()
         first = harness.caller().send()
         request_id = harness.interpreter.await_runs()[0]
-        assert harness.caller().request(ident=request_id).status == 400
+        assert harness.caller().request(request_id=request_id).status == 400
         harness.interpreter.end(request_id, b"one")
         assert first.receive().body == b"one"
 
@@ -330,7 +332,7 @@
         (request_id,) = harness.interpreter.await_runs()
         harness.interpreter.sock.sendall(line)
         wait_until(lambda: len(harness.interpreter.commands("CONNECT")) == 2)
-        harness.interpreter.notices.last_clear()
+        harness.interpreter.notices.clear()
         harness.instance.link.offset = 0
         harness.interpreter.end(request_id, b"fine")
         assert caller.receive().body == b"fine" and harness.count("interpreter.broken") == 1
@@ -450,8 +452,9 @@
         else:
             started_at = time.monotonic()
             assert caller.receive().status == 500 and time.monotonic() - started_at < 0.75
-        harness.ledger.open[0].settimeout(2)
-        wait_until(lambda: harness.ledger.closed_connections and harness.count("rpc.gone" if how == "gone" else "rpc.aborted"))
+        harness.ledger.connections[0].settimeout(2)
+        wait_until(lambda: harness.ledger.closed_connections
+                   and harness.count("rpc.gone" if how == "gone" else "rpc.aborted"))
         harness.interpreter.end(request_id, result="cut")
         wait_until(lambda: not harness.instance.driver.exchanges)
 
@@ -536,9 +539,9 @@
 def test_idempotency_entry_outlasts_the_window_and_then_expires(age, runs):
     with ServiceHarness() as harness:
         assert harness.caller().request("booking", **KEY).status == 200
-        tokens = harness.instance.driver.idempotency_table
+        table = harness.instance.driver.idempotency_table
         with harness.instance.driver.lock:
-            tokens.expire(time.time_ns() // 1000 + age * 1000)
+            table.expire(time.time_ns() // 1000 + age * 1000)
         assert harness.caller().request("booking", **KEY).status == 200
         assert len(harness.interpreter.commands("APPLY")) == runs
 
@@ -652,7 +655,7 @@
     started.kill()
     started.wait()
     for messages in (harness.interpreter.received, harness.interpreter.notices, harness.control.received):
-        messages.last_clear()
+        messages.clear()
     again = start(tmp_path / "config.json", harness)
     caller = harness.caller().send("booking", **KEY)
     harness.interpreter.end(harness.interpreter.await_runs()[0], b"after")
@@ -781,7 +784,7 @@
 
 
 CONFIG = {"name": "n3", "listen": "127.0.0.1:65000", "vm": "127.0.0.1:9300", "control": "127.0.0.1:8500",
-         "ledger": "127.0.0.1:7700", "settings": SETTINGS}
+          "ledger": "127.0.0.1:7700", "settings": SETTINGS}
 
 
 @pytest.mark.parametrize("change, words", [
