--- a/hollystage/commands/config.py
+++ b/hollystage/commands/config.py
@@ -31,8 +31,9 @@
     result = read_file(file)
     failed = bool(result.errors) or strict and bool(result.diagnostics)
     if json:
-        _print_json({"usable": not result.errors, "faults": [_diagnostic_fields(diagnostic) for diagnostic in result.diagnostics],
-               "left_out": result.left_out, "entries": len(result.plan.entries), "files": result.plan.files})
+        _print_json({"usable": not result.errors,
+                     "faults": [_diagnostic_fields(diagnostic) for diagnostic in result.diagnostics],
+                     "left_out": result.left_out, "entries": len(result.plan.entries), "files": result.plan.files})
     else:
         _print_diagnostics(result)
         for section_name in result.plan.sections_without_effect():
@@ -86,7 +87,7 @@
     changes = compare(_load_plan(old), _load_plan(new))
     if json:
         _print_json([{"section": c.section, "name": c.name, "key": c.key, "before": c.before, "after": c.after,
-                "origin": c.origin, "live": c.reloadable} for c in changes])
+                      "origin": c.origin, "live": c.reloadable} for c in changes])
     else:
         for change in changes:
             typer.echo(str(change))
--- a/hollystage/commands/demo.py
+++ b/hollystage/commands/demo.py
@@ -40,8 +40,8 @@
         profiles, config.settings.domain.class_skip_worth, strict=False) if skip > 0]
     # run time of an RPC with which the rate uses seven tenths of the cores
     work_s = 0.7 * config.settings.domain.cores / rate
-    interpreter = SimulatedInterpreter(int(config.settings.domain.cores), {p.name: work_s for p in profiles}, frozenset(calls),
-                         seed)
+    interpreter = SimulatedInterpreter(int(config.settings.domain.cores),
+                                       {p.name: work_s for p in profiles}, frozenset(calls), seed)
     ledger, control, listen = FixedLatencyLedger(), ControlPlane(), free_address()
     config.listen = f"{listen[0]}:{listen[1]}"
     for key, stand_in in (("vm", interpreter), ("ledger", ledger), ("control", control)):
@@ -57,8 +57,9 @@
     while (elapsed := time.monotonic() - started_at) < seconds:
         time.sleep(min(0.25, max(0.01, seconds - elapsed)))
         counts = instance.counters.read()
-        _show_progress(f"{min(elapsed, seconds):5.1f} s  {counts.get('rpc.read', 0)} read, {counts.get('rpc.ok', 0)} ok, "
-                  f"{counts.get('rpc.pushed_back', 0)} rejected, {ledger.calls} calls")
+        _show_progress(f"{min(elapsed, seconds):5.1f} s  {counts.get('rpc.read', 0)} read, "
+                       f"{counts.get('rpc.ok', 0)} ok, "
+                       f"{counts.get('rpc.pushed_back', 0)} rejected, {ledger.calls} calls")
     load_tool.stop()
     _show_progress("draining")
     instance.drain()
@@ -80,7 +81,7 @@
         sys.stderr.flush()
 
 
-def _print_table(tallies: dict[str, MethodResults], targets: dict[str, float]) -> int:
+def _print_table(results: dict[str, MethodResults], targets: dict[str, float]) -> int:
     """Prints a table with one row per method; returns the number of RPCs without a complete answer.
 
     `targets` are the latency targets in seconds.
@@ -88,13 +89,13 @@
     lost = 0
     typer.echo(f"{'method':16} {'sent':>6} {'ok':>6} {'rejected':>12} {'aborted':>8} {'in target':>10} "
                f"{'median':>9} {'p99':>9}")
-    for method, tally in tallies.items():
-        latencies = sorted(tally.latencies_s)
-        in_target = sum(latency <= targets[method] for latency in latencies) / max(1, tally.sent)
+    for method, result in results.items():
+        latencies = sorted(result.latencies_s)
+        in_target = sum(latency <= targets[method] for latency in latencies) / max(1, result.sent)
         median, p99 = ((latencies[len(latencies) // 2], latencies[len(latencies) * 99 // 100]) if latencies
                        else (0.0, 0.0))
-        answers = tally.outcomes
-        lost += tally.sent - answers["ok"] - answers["pushed back"] - answers["aborted"]
-        typer.echo(f"{method:16} {tally.sent:6} {answers['ok']:6} {answers['pushed back']:12} "
+        answers = result.outcomes
+        lost += result.sent - answers["ok"] - answers["pushed back"] - answers["aborted"]
+        typer.echo(f"{method:16} {result.sent:6} {answers['ok']:6} {answers['pushed back']:12} "
                    f"{answers['aborted']:8} {in_target:10.1%} {median * 1000:6.0f} ms {p99 * 1000:6.0f} ms")
     return lost
--- a/hollystage/commands/lab.py
+++ b/hollystage/commands/lab.py
@@ -18,7 +18,7 @@
 Seconds = Annotated[float, typer.Option("--seconds", min=1, max=3600, help="Length of the schedule.")]
 Seed = Annotated[int, typer.Option("--seed", help="Seed for the schedule, the links and the traffic.")]
 Json = Annotated[bool, typer.Option("--json", help="One JSON object on standard output.")]
-SeededFault = Annotated[str, typer.Option("--break", help="Activate this seeded fault in every member; see docs/lab.md.")]
+SeededFault = Annotated[str, typer.Option("--break", help="Activate this seeded fault; see docs/lab.md.")]
 Report = Annotated[str, typer.Option("--report", help="Draw a timeline of every member into this PNG file.")]
 Keep = Annotated[str, typer.Option("--keep", help="Keep histories and logs in this folder.")]
 
@@ -50,8 +50,7 @@
     from ..standins.fleet.check import MAX_DATAGRAMS_PER_S, check_membership, check_rules
     from ..standins.fleet.recovery_check import check_recovery
     from ..standins.fleet.rig import Load
-    from ..standins.fleet.schedules import SCENES, minimize_faults, random_schedule
-    from ..standins.fleet.schedules import scene_schedule as scene_of
+    from ..standins.fleet.schedules import SCENES, minimize_faults, random_schedule, scene_schedule
     from ..standins.fleet.seeded_faults import SEEDED_FAULTS
 
     if broken and broken not in SEEDED_FAULTS:
@@ -61,7 +60,7 @@
     if schedule:
         plan = read_schedule(schedule)
     else:
-        plan = scene_of(scene, members, seed) if scene else random_schedule(seed, members, seconds)
+        plan = scene_schedule(scene, members, seed) if scene else random_schedule(seed, members, seconds)
     plan.load |= {"rate": rate} if rate else {}
     try:
         load = msgspec.convert(plan.load | {"period_ms": period, "settle_s": settle}, Load)
@@ -69,9 +68,9 @@
         _fail(f"the load of the schedule is invalid: {error}")
 
     def find_violations(lines: list[Line]) -> list[Violation]:
-        return check_rules(lines, load, across_restarts=True) + check_membership(
-            lines, MAX_DATAGRAMS_PER_S + allocator_datagram_rate(load, plan.members)) + check_recovery(lines) + check_budgets(
-            lines, load.whole)
+        return (check_rules(lines, load, across_restarts=True)
+                + check_membership(lines, MAX_DATAGRAMS_PER_S + allocator_datagram_rate(load, plan.members))
+                + check_recovery(lines) + check_budgets(lines, load.whole))
 
     lines = run_schedule(plan, load, broken, keep)
     violations = find_violations(lines)
@@ -96,7 +95,7 @@
 
 
 def print_results(plan: Schedule, lines: list[Line], violations: list[Violation], load: Any, json: bool,
-         report: str) -> NoReturn:
+                  report: str) -> NoReturn:
     """Prints the figures and violations of a run, stores a failing schedule, and ends the command."""
     import msgspec
 
@@ -110,7 +109,8 @@
         figures["budget"] = budget_check.budget_metrics(lines, load.whole)
     if json:
         typer.echo(msgspec.json.format(msgspec.json.encode(
-            {"violations": violations, "seed": plan.seed, "faults": plan.fault_counts(), "measured": figures})).decode())
+            {"violations": violations, "seed": plan.seed, "faults": plan.fault_counts(),
+             "measured": figures})).decode())
     else:
         for name, value in figures.items():
             typer.echo(f"{name:20} {value}")
--- a/hollystage/commands/timeline.py
+++ b/hollystage/commands/timeline.py
@@ -37,7 +37,8 @@
     row_of = {name: len(names) - n for n, name in enumerate(names)}
     for name in names:
         for begin, end, state in _state_spans(lines, name, start, last):
-            member_axes.barh(row_of[name], end - begin, left=begin, height=0.8, color=STATE_COLOURS[state], linewidth=0)
+            member_axes.barh(row_of[name], end - begin, left=begin, height=0.8, color=STATE_COLOURS[state],
+                             linewidth=0)
     _plot_answers(member_axes, lines, row_of, start)
     for line in lines:
         if line["what"] == "fault":
@@ -45,12 +46,13 @@
             member_axes.axvline(time_s, color="#444444", linewidth=0.8, linestyle=":")
             member_axes.text(time_s, len(names) + 0.7, line["do"], rotation=60, fontsize=7)
         elif line["what"] == "peer" and line["event"] in EVENT_MARKERS and line["t"] > start:
-            member_axes.plot((line["t"] - start) / SECOND_US, row_of[line["who"]] + 0.33, marker=EVENT_MARKERS[line["event"]],
-                             markersize=3, color="#8e24aa", linestyle="")
+            member_axes.plot((line["t"] - start) / SECOND_US, row_of[line["who"]] + 0.33,
+                             marker=EVENT_MARKERS[line["event"]], markersize=3, color="#8e24aa", linestyle="")
     agreements = [*agreement_changes(lines), (lines[-1]["t"], True)]
     for (begin, agreed), (end, _) in zip(agreements, agreements[1:], strict=False):
         if not agreed:
-            member_axes.barh(0, (end - begin) / SECOND_US, left=(begin - start) / SECOND_US, height=0.5, color="#c62828")
+            member_axes.barh(0, (end - begin) / SECOND_US, left=(begin - start) / SECOND_US, height=0.5,
+                             color="#c62828")
     member_axes.set_yticks([0, *row_of.values()], ["views differ", *row_of])
     member_axes.set_ylim(-0.6, len(names) + 2)
     _plot_criticality(criticality_axes, lines, start, last)
@@ -79,7 +81,7 @@
 
 
 def _plot_answers(axes: Any, lines: list[Line], row_of: dict[str, int], start: int) -> None:
-    """A dot for each answer, in the row of the member that the attempt was sent to."""
+    """Plots a dot for each answer, in the row of the member that the attempt was sent to."""
     target = {line["rpc"]: line["to"] for line in lines if line["what"] == "try"}
     for answer, (colour, size) in ANSWER_STYLES.items():
         ends = [line for line in lines if line["what"] == "end" and line["word"] == answer and line["rpc"] in target]
@@ -92,14 +94,14 @@
 def _plot_criticality(axes: Any, lines: list[Line], start: int, last: float) -> None:
     """Plots the criticality that was served within the latency target and that was asked for, by the second."""
     seconds = range(-2, int(last) + 1)
-    good, asked = dict.fromkeys(seconds, 0.0), dict.fromkeys(seconds, 0.0)
+    served, asked = dict.fromkeys(seconds, 0.0), dict.fromkeys(seconds, 0.0)
     for line in lines:
         second = (line["t"] - start) // SECOND_US
         if line["what"] == "rpc" and second in asked:
             asked[second] += line["worth"]
-            good[second] += line["worth"] if line["good"] else 0.0
+            served[second] += line["worth"] if line["good"] else 0.0
     axes.step(list(asked), list(asked.values()), where="post", color="#9e9e9e", label="asked")
-    axes.step(list(good), list(good.values()), where="post", color="#2f7d32", label="served within target")
+    axes.step(list(served), list(served.values()), where="post", color="#2f7d32", label="served within target")
     axes.set_ylabel("criticality per second")
     axes.set_ylim(bottom=0)
     axes.legend(fontsize=7)
--- a/hollystage/plan/check.py
+++ b/hollystage/plan/check.py
@@ -12,10 +12,10 @@
 from .sections import Section
 
 EntryLocations = list[tuple[Location, dict[str, Location]]]  # of each entry: its own location, and that of each key
-MAX_RATIO_TO_MEDIAN = 50  # a time this far from the median is of another magnitude, most likely written in another unit
+MAX_RATIO_TO_MEDIAN = 50  # a time further from the median was most likely written in another unit
 # key -> the section whose entries it names
 REFERENCED_SECTIONS = {"method": "method", "tenant": "tenant", "ledger": "ledger", "pool": "pool", "heir": "pool",
-              "methods": "method"}
+                       "methods": "method"}
 
 
 def check(plan: Plan, locations: EntryLocations, unreadable: set[tuple[str, str]], unparsed_names: set[str],
@@ -35,8 +35,8 @@
 class _Checker:
     """One check of one plan."""
 
-    def __init__(self, plan: Plan, locations: EntryLocations, unreadable: set[tuple[str, str]], unparsed_names: set[str],
-                 diagnostics: Diagnostics) -> None:
+    def __init__(self, plan: Plan, locations: EntryLocations, unreadable: set[tuple[str, str]],
+                 unparsed_names: set[str], diagnostics: Diagnostics) -> None:
         self.plan, self.diagnostics, self.unparsed_names = plan, diagnostics, unparsed_names
         self.rows = [(entry.value, *location) for entry, location in zip(plan.entries, locations, strict=True)]
         self.names: dict[str, set[str]] = {}  # section -> names of its entries
@@ -81,7 +81,7 @@
                     if name not in known:
                         close = nearest(name, known)
                         self._report(key_locations.get(key, location), f'the {target} "{name}" does not exist',
-                                   f'write "{close}"' if close else f'add {target}("{name}", ...)')
+                                     f'write "{close}"' if close else f'add {target}("{name}", ...)')
 
     def _check_routes(self) -> None:
         """Reports duplicate, conflicting and unreachable routes: the first route that matches an RPC is used.
@@ -97,21 +97,21 @@
             if first is not None:
                 same = (first[0].pool, first[0].ledger) == (section.pool, section.ledger)
                 self._report(place, f"a duplicate of the route at {first[1].file}:{first[1].line}" if same
-                           else f"a route that conflicts with the one at {first[1].file}:{first[1].line}: both match "
-                           f"{section.title()}", "remove one")
+                             else f"a route that conflicts with the one at {first[1].file}:{first[1].line}: both "
+                             f"match {section.title()}", "remove one")
                 continue
             covering = self._find_covering_route(section, prefixes)
             if covering is not None:
                 self._report(place, f"an unreachable route: the one at {covering.file}:{covering.line} covers it",
-                           "move it above that route, or remove it")
+                             "move it above that route, or remove it")
             exact[section.method, section.tenant, section.object] = section, location
             prefix = "" if section.object is None else section.object
             if section.object is None or section.object.endswith("*"):
                 prefixes.setdefault((section.method, section.tenant), {}).setdefault(prefix.rstrip("*"), location)
 
     @staticmethod
-    def _find_covering_route(route: sections.Route, prefixes: dict[tuple[str | None, str | None], dict[str, Location]]
-                 ) -> Location | None:
+    def _find_covering_route(route: sections.Route,
+                             prefixes: dict[tuple[str | None, str | None], dict[str, Location]]) -> Location | None:
         """Location of an earlier route that matches everything that `route` matches, or None."""
         prefix = (route.object or "").rstrip("*")
         for method in {route.method, None}:
@@ -136,7 +136,7 @@
             last = reserve[2].get("running", last or reserve[1])
         if total > 1 + 1e-9 and last is not None:
             self._report(last, f"pools and reserve guarantee {round(total * 100, 3):g}% in total",
-                       "reduce them to 100% or less in total")
+                         "reduce them to 100% or less in total")
 
     def _check_pools(self) -> None:
         """Reports methods that are in two pools, and pools whose heirs form a cycle."""
@@ -147,7 +147,7 @@
             for method in section.methods:
                 if method in owner:
                     self._report(key_locations.get("methods", location), f'the method "{method}" is already in the '
-                               f'pool "{owner[method]}"', "list it in one pool only")
+                                 f'pool "{owner[method]}"', "list it in one pool only")
                 owner.setdefault(method, section.name)
             if section.heir is not None:
                 heirs[section.name] = section.heir
@@ -158,7 +158,7 @@
                 name = heirs[name]
             if name == section.title() and len(seen) > 1:
                 self._report(key_locations.get("heir", location), f"a cycle of heirs: {' -> '.join(sorted(seen))}",
-                           "name an heir outside the cycle")
+                             "name an heir outside the cycle")
 
     def _check_times(self) -> None:
         """Reports times far from the median of their key over all methods.
@@ -178,8 +178,9 @@
                                                          Fraction(60), Fraction(1, 10 ** 6), Fraction(10 ** 6))
                                    if middle / 10 <= amount * factor <= middle * 10), None)
                     fix = f"write {_format_time(amount * likely)}" if likely else "check its unit"
-                    self._report(key_locations.get(key, location), f"a {key} of {_format_time(Fraction(amount))}, while the "
-                               f"median over all methods is {_format_time(Fraction(middle))}", fix)
+                    self._report(key_locations.get(key, location),
+                                 f"a {key} of {_format_time(Fraction(amount))}, while the median over all methods is "
+                                 f"{_format_time(Fraction(middle))}", fix)
 
     def _check_completeness(self) -> None:
         """Checks that machine, rules and methods come together, and that every ceiling allows at least one core.
@@ -194,15 +195,15 @@
             location = next((location for section, location, _ in self.rows if section.section_name in present), None)
             if location is not None and not self.unparsed_names.intersection(missing):
                 self._report(location, f"{' and '.join(present)} without {' and '.join(missing)}",
-                           f"add {' and '.join(f'{name}(...)' for name in missing)}")
+                             f"add {' and '.join(f'{name}(...)' for name in missing)}")
         machine = next(self._rows_of(sections.Machine), None)
         if machine is None or not isinstance(machine[0], sections.Machine):
             return
         for section, location, key_locations in self._rows_of(sections.Pool):
             if isinstance(section, sections.Pool) and section.ceiling * machine[0].cores < 1:
                 self._report(key_locations.get("ceiling", location),
-                           f"a ceiling of less than one of {machine[0].cores} cores",
-                           f"write {-(-100 // machine[0].cores)}% or more")
+                             f"a ceiling of less than one of {machine[0].cores} cores",
+                             f"write {-(-100 // machine[0].cores)}% or more")
 
     def _check_budgets(self) -> None:
         """A budget needs a fleet whose instances communicate, leases, and floors that fit into its total."""
@@ -213,18 +214,19 @@
             assert isinstance(section, fleetwide.Budget)
             if section.of in seen:
                 self._report(key_locations.get("of", location),
-                           f'a second budget of {section.of}; the first one is "{seen[section.of]}"', "remove one")
+                             f'a second budget of {section.of}; the first one is "{seen[section.of]}"', "remove one")
             seen.setdefault(section.of, section.name)
             if not communicates and "fleet" not in self.unparsed_names:
                 self._report(location, "a budget for instances that do not communicate",
-                           "add fleet(bind = ..., key = ...)")
+                             "add fleet(bind = ..., key = ...)")
             if "leases" not in self.names and "leases" not in self.unparsed_names:
                 self._report(location, "a budget without leases: no instance may allocate it",
-                           "add leases(voters = [...])")
-            most = section.most or (fleet.instances if isinstance(fleet, sections.Fleet) else 1)
-            if section.floor * most > section.whole:
-                self._report(key_locations.get("floor", location), f"floors of {section.floor} for {most} instances "
-                           f"exceed the whole of {section.whole}", f"write {section.whole // most}, or a lower most")
+                             "add leases(voters = [...])")
+            max_instances = section.most or (fleet.instances if isinstance(fleet, sections.Fleet) else 1)
+            if section.floor * max_instances > section.whole:
+                self._report(key_locations.get("floor", location), f"floors of {section.floor} for {max_instances} instances "
+                             f"exceed the whole of {section.whole}",
+                             f"write {section.whole // max_instances}, or a lower most")
         for _, location, _ in self._rows_of(fleetwide.Leases):
             if not seen and "budget" not in self.unparsed_names:
                 self._report(location, "leases without a budget", "add budget(...), or remove it", True)
@@ -237,9 +239,10 @@
         for section, location in ledgers[1:]:
             if ("ledger", section.title()) not in self.referenced:
                 self._report(location, f'no route leads to the ledger "{section.title()}"',
-                           "add a route, or remove the ledger", True)
+                             "add a route, or remove the ledger", True)
         for section, location, _ in self._rows_of(sections.Pool):
-            if isinstance(section, sections.Pool) and not section.methods and ("pool", section.name) not in self.referenced:
+            if (isinstance(section, sections.Pool) and not section.methods
+                    and ("pool", section.name) not in self.referenced):
                 self._report(location, f'the pool "{section.name}" receives no RPCs', "add methods or a route", True)
 
 
--- a/hollystage/plan/compare.py
+++ b/hollystage/plan/compare.py
@@ -81,14 +81,14 @@
     for field in new.value.__struct_fields__:
         before, after = getattr(old.value, field), getattr(new.value, field)
         if before != after:
-            live = "*" in new.value.reloadable or field in new.value.reloadable
-            changes.append(Change(key[0], key[1], field, format_field(old.value, field), format_field(new.value, field),
-                                  new.origins.get(field, new.origin), live))
+            is_reloadable = "*" in new.value.reloadable or field in new.value.reloadable
+            changes.append(Change(key[0], key[1], field, format_field(old.value, field),
+                                  format_field(new.value, field), new.origins.get(field, new.origin), is_reloadable))
     return changes
 
 
 def _order_changes(old: Plan, new: Plan, before: dict[tuple[str, str, int], Entry],
-            after: dict[tuple[str, str, int], Entry]) -> list[Change]:
+                   after: dict[tuple[str, str, int], Entry]) -> list[Change]:
     """Changes of order in the sections where order matters.
 
     Methods and tenants are numbered by it, the first matching route is used, and the first ledger and listener are
@@ -108,7 +108,7 @@
 
 def format_field(value: Section, field: str) -> str:
     """Returns the value of one key as a script writes it."""
-    from .read import section_keys  # gives the unit of each key; imports the language, which only this function needs
+    from .read import section_keys  # imported here: it imports the language, which `serve` does not need
 
     return _format_value(getattr(value, field), str(section_keys(type(value))[field].type_hint))
 
--- a/hollystage/plan/compiled.py
+++ b/hollystage/plan/compiled.py
@@ -14,7 +14,7 @@
 from .model import Plan, from_rows, to_rows
 
 FORMAT_VERSION, MAGIC = 2, b"hollystage-plan"
-MAX_PLAN_BYTES = 64 << 20  # bytes of a compiled plan
+MAX_PLAN_BYTES = 64 << 20
 MIN_KEY_BYTES = 32
 
 
@@ -41,8 +41,8 @@
             raise UnusableFileError(f"{path} is accessible to users other than its owner: set its mode to 600")
         with open(path, "rb") as file:
             data = file.read(4096)
-    except OSError as bad:
-        raise UnusableFileError(f"{path} cannot be read: {bad.strerror}") from bad
+    except OSError as error:
+        raise UnusableFileError(f"{path} cannot be read: {error.strerror}") from error
     if len(data) < MIN_KEY_BYTES:
         raise UnusableFileError(f"{path} is shorter than {MIN_KEY_BYTES} bytes")
     return digest(data, None)
@@ -63,6 +63,7 @@
 
 
 def is_compiled(data: bytes) -> bool:
+    """Whether data starts like a compiled plan; 64 bytes are enough to tell."""
     return data.startswith(MAGIC + b" ")
 
 
@@ -78,7 +79,8 @@
     if len(fields) != 4 or fields[0] != MAGIC or not newline or not fields[1].isdigit():
         raise UnusableFileError("not a compiled plan: its header cannot be read")
     if int(fields[1]) != FORMAT_VERSION:
-        raise UnusableFileError(f"a compiled plan of format {int(fields[1])}, this version reads format {FORMAT_VERSION}: build it again")
+        raise UnusableFileError(f"a compiled plan of format {int(fields[1])}, this version reads format "
+                                f"{FORMAT_VERSION}: build it again")
     if fields[2] not in (b"keyed", b"plain"):
         raise UnusableFileError("not a compiled plan: its header cannot be read")
     if fields[2] == b"keyed" and key is None:
@@ -90,5 +92,5 @@
     try:
         content = msgspec.msgpack.decode(body, type=Body)
         return from_rows(content.rows, content.files)
-    except (msgspec.DecodeError, ValueError) as bad:
-        raise UnusableFileError(f"a compiled plan that this version cannot use: {bad}") from bad
+    except (msgspec.DecodeError, ValueError) as error:
+        raise UnusableFileError(f"a compiled plan that this version cannot use: {error}") from error
--- a/hollystage/plan/model.py
+++ b/hollystage/plan/model.py
@@ -27,7 +27,7 @@
 
 
 class Plan(msgspec.Struct):
-    """Entries in the order in which they were written."""
+    """The configuration of an instance: entries in the order in which they were written."""
 
     entries: list[Entry] = []
     files: list[str] = []  # the script and the files that it loads, the script first
@@ -72,7 +72,8 @@
 
         `Deployment` (hollystage.settings) is its schema.
         """
-        machine, rules, methods = self.first_of(sections.Machine), self.first_of(sections.Rules), self.all_of(sections.Method)
+        machine, rules, methods = (self.first_of(sections.Machine), self.first_of(sections.Rules),
+                                   self.all_of(sections.Method))
         if machine is None or rules is None or not methods:
             return None
         refusals = self.first_of(sections.Refusals) or sections.Refusals()
@@ -91,8 +92,8 @@
                 "ColdFrom": rules.cold_from, "WarmAfterUs": rules.warm_after},
             "Limits": {"RetryAfter": refusals.retry_after, "MaxRetryAfterUs": refusals.longest},
             "Profiles": [
-                {"Name": m.name, "Repeat": PLATFORM_METHOD_KINDS[m.kind], "Value": m.criticality, "PromiseUs": m.target,
-                 "GiveUpUs": m.deadline, "WindowUs": m.window} for m in methods],
+                {"Name": m.name, "Repeat": PLATFORM_METHOD_KINDS[m.kind], "Value": m.criticality,
+                 "PromiseUs": m.target, "GiveUpUs": m.deadline, "WindowUs": m.window} for m in methods],
             "Tenants": [{"QuotaPerS": tenant.quota or 0} for tenant in tenants] or None,
             "PeersTotal": fleet.instances, "OverShareWorth": fleet.over_share,
             "WorthBy": fleet.worth_by}
--- a/hollystage/plan/read.py
+++ b/hollystage/plan/read.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import inspect
 
-from ..language.diagnostics import Diagnostics, Location, ScriptError, nearest
+from ..language.diagnostics import Diagnostic, Diagnostics, Location, ScriptError, nearest
 from ..language.evaluate import Program
 from ..language.sources import DiskFolder, SourceFolder
 from ..language.units import (
@@ -129,17 +129,19 @@
             close = nearest(value, choices) if isinstance(value, str) else None
             listed = ", ".join(f'"{choice}"' for choice in choices)
             raise _ConversionError(f"{self.label} cannot be {describe(value)}",
-                         f'write "{close}"' if close else f"use one of {listed}")
+                                   f'write "{close}"' if close else f"use one of {listed}")
         return value
 
     def _to_reference(self, value: Any, section_name: str) -> str:
         """The name of an entry of another section, given as a string or as the entry itself."""
         if isinstance(value, Record):
             if value.section != section_name:
-                raise _ConversionError(f"{self.label} names a {section_name}, not {value.described}", f"name a {section_name}")
+                raise _ConversionError(f"{self.label} names a {section_name}, not {value.described}",
+                                       f"name a {section_name}")
             return value.name
         if not isinstance(value, str):
-            raise _ConversionError(f"{self.label} names a {section_name}, not {describe(value)}", f"name a {section_name}")
+            raise _ConversionError(f"{self.label} names a {section_name}, not {describe(value)}",
+                                   f"name a {section_name}")
         return value
 
     def _to_amount(self, value: Any, unit: Dimension, is_whole: bool) -> int | float:
@@ -154,8 +156,9 @@
             return float(amount)
         if amount.denominator != 1:
             expected = {"time": "a multiple of 1us", "size": "a multiple of 1B"}.get(unit.value, "a whole number")
-            raise _ConversionError(f"{self.label} is {expected}, not {format_amount(value)}",
-                         f"write {format_amount(_with_dimension_of(value, Fraction(max(1, round(amount)))))}")
+            raise _ConversionError(
+                f"{self.label} is {expected}, not {format_amount(value)}",
+                f"write {format_amount(_with_dimension_of(value, Fraction(max(1, round(amount)))))}")
         return amount.numerator
 
     def _suggest_amount(self, value: Any, unit: Dimension) -> str:
@@ -172,7 +175,8 @@
         if value == 0:
             return {"time": "0ms", "size": "0KiB", "rate": "0/s", "share": "0%"}[unit.value]
         likely = suggest_quantity(value, unit)
-        for text in (likely, *(format_amount(value) + name for name, (dimension, _) in UNITS.items() if dimension is unit)):
+        for text in (likely, *(format_amount(value) + name for name, (dimension, _) in UNITS.items()
+                               if dimension is unit)):
             with suppress(QuantityError, msgspec.ValidationError):
                 msgspec.convert(float(parse_quantity(text).amount), self.type_hint, strict=False)
                 return text
@@ -185,8 +189,8 @@
             bound = Fraction(match[2])
             text = format_amount(_with_dimension_of(value, bound)) if dimension_of(value) is not None else match[2]
             return _ConversionError(f"{self.label} is {BOUND_PHRASES[match[1]]} {text}, not {format_amount(value)}",
-                          f"write {text}" if "=" in match[1] else "make it "
-                          + ("more" if match[1] == ">" else "less"))
+                                    f"write {text}" if "=" in match[1] else "make it "
+                                    + ("more" if match[1] == ">" else "less"))
         if self.fix:
             return _ConversionError(f"{self.label} cannot be {describe(value)}", self.fix)
         return _ConversionError(f"{self.label} cannot be {describe(value)}", message)
@@ -229,7 +233,7 @@
             if key is None:
                 close = nearest(name, self.keys)
                 reader.report(argument.location, f"{section_name} has no {name}", f"write {close}" if close else
-                            f"use one of {', '.join(self.keys)}")
+                              f"use one of {', '.join(self.keys)}")
                 is_valid = False
             elif argument.value is UNKNOWN:  # the error that made it unknown is already reported
                 is_valid = False
@@ -268,10 +272,11 @@
         self.diagnostics = Diagnostics()
         self.plan = Plan()
         self.unreadable: list[tuple[str, str]] = []  # section and name of entries that could not be converted
-        self.first_locations: dict[tuple[str, str], Location] = {}  # section and name -> where the entry was first written
+        self.first_locations: dict[tuple[str, str], Location] = {}  # section and name -> its first entry
         self.locations: list[tuple[Location, dict[str, Location]]] = []  # of each entry of the plan and of its keys
         self.limit_reported = False  # whether the limit on entries was reported
-        self.program = Program(folder, {name: EntryFunction(kind, self) for name, kind in SECTIONS.items()}, self.diagnostics)
+        self.program = Program(folder, {name: EntryFunction(kind, self) for name, kind in SECTIONS.items()},
+                               self.diagnostics)
         self.root = root
 
     def report(self, location: Location, message: str, fix: str) -> None:
@@ -279,7 +284,7 @@
         self.diagnostics.add(location, message, fix)
 
     def add_entry(self, kind: type[Section], fields: dict[str, Any] | None, location: Location,
-              arguments: dict[str, ArgumentValue], record: Record) -> None:
+                  arguments: dict[str, ArgumentValue], record: Record) -> None:
         """Adds an entry to the plan. `fields` is None for an entry whose arguments could not be converted."""
         section_name = kind.section_name
         name = record.name if kind.allows_multiple and "name" in section_keys(kind) else ""
@@ -287,8 +292,8 @@
             first = self.first_locations.get((section_name, name))
             if first is not None:
                 self.report(location, f'the {section_name}{f" {chr(34)}{name}{chr(34)}" if name else ""} is already '
-                          f"defined at {first.file}:{first.line}",
-                          "remove one" if not name else "choose another name")
+                            f"defined at {first.file}:{first.line}",
+                            "remove one" if not name else "choose another name")
                 return
             self.first_locations[section_name, name] = location
         if len(self.plan.entries) >= MAX_ENTRIES:
--- a/hollystage/plan/sections.py
+++ b/hollystage/plan/sections.py
@@ -116,9 +116,9 @@
         # measured: 30 MiB for the program and 60 KiB for each connection when the connection table is full
         needed = (30 << 20) + self.sockets * 11 // 16 * (60 << 10)
         if needed > self.memory:
-            most = max(32, ((self.memory - (30 << 20)) // (60 << 10)) * 16 // 11)
+            max_sockets = max(32, ((self.memory - (30 << 20)) // (60 << 10)) * 16 // 11)
             yield ("sockets", f"connections on {self.sockets} sockets may take {needed >> 20} MiB, "
-                   f"more than the {self.memory >> 20} MiB of memory", f"write {most}, or raise memory")
+                   f"more than the {self.memory >> 20} MiB of memory", f"write {max_sockets}, or raise memory")
 
 
 class Machine(Section, frozen=True):
--- a/tests/test_plan.py
+++ b/tests/test_plan.py
@@ -39,7 +39,8 @@
 
 
 def plan_of(text, **files):
-    result = read(MemoryFolder({"a.star": text.encode()} | {name: body.encode() for name, body in files.items()}), "a.star")
+    result = read(MemoryFolder({"a.star": text.encode()}
+                               | {name: body.encode() for name, body in files.items()}), "a.star")
     assert not result.errors, [str(error) for error in result.errors]
     return result.plan
 
@@ -114,7 +115,7 @@
 
 def test_rejects_a_section_of_a_later_version_by_name():
     class Later(Section, frozen=True):
-        word = "later"
+        section_name = "later"
         mark: str = "x"
 
     register(Later)
@@ -126,7 +127,7 @@
     with pytest.raises(UnusableFileError, match="the section 'later' is not known"):
         parse(data)
     with pytest.raises(ValueError, match="is already registered"):
-        register(type("Other", (Instance,), {"word": "instance", "__annotations__": {}}))
+        register(type("Other", (Instance,), {"section_name": "instance", "__annotations__": {}}))
 
 
 def test_checks_permissions_and_length_of_key_files(tmp_path):
@@ -247,7 +248,8 @@
 # SIGHUP under load
 
 def test_a_hundred_sighups_with_valid_and_invalid_plans_lose_no_rpc(tmp_path):
-    interpreter, ledger, control = Interpreter(), ScriptedHttpServer(reply(200, b"posted")), ScriptedHttpServer(reply(204))
+    interpreter, ledger, control = (Interpreter(), ScriptedHttpServer(reply(200, b"posted")),
+                                    ScriptedHttpServer(reply(204)))
     other, listen = ScriptedHttpServer(reply(200, b"posted")), free_address()
     path, shared = tmp_path / "a.star", tmp_path / "shared.star"
     text = 'load("shared.star", "LEDGER")\n' + PLAN.replace('"127.0.0.1:7700"', "LEDGER")
@@ -261,14 +263,14 @@
     lines, answers, stopped = [], [], threading.Event()
     threading.Thread(target=lambda: lines.extend(process.stderr), daemon=True).start()
 
-    def ask():
+    def send_requests():
         caller = Caller(listen)
         while not stopped.is_set():
             answers.append(caller.request().status)
 
     try:
         wait_until(lambda: any("interpreter is up" in line for line in lines))
-        clients = [threading.Thread(target=ask, daemon=True) for _ in range(4)]
+        clients = [threading.Thread(target=send_requests, daemon=True) for _ in range(4)]
         for client in clients:
             client.start()
         invalid = ["LEDGER = 3\n", 'LEDGER = "127.0', 'load("shared.star", "X")\nLEDGER = X\n', None, ""]
@@ -295,7 +297,7 @@
             server.close()
 
 
-# BudgetModel of the whole fleet
+# Budgets of the whole fleet
 
 BUDGET_PLAN = PLAN + """fleet(instances = 8, bind = "127.0.0.1:7400", key = "k")
 leases(voters = ["n1", "n2", "n3"], length = 3s)
@@ -306,7 +308,8 @@
 def test_defaults_of_budgets_come_from_fleet_and_methods():
     config = budget_config(parse_config(b"", plan_of(BUDGET_PLAN)))
     (budget,) = config.budgets
-    assert (budget.most, budget.use, budget.floor, budget.kept, config.call_budget) == (8, 4_000_000, 1, 0.05, "calls")
+    assert (budget.most, budget.use, budget.floor, budget.kept, config.call_budget) == (
+        8, 4_000_000, 1, 0.05, "calls")
     assert (config.leases.voters, config.leases.length, config.leases.drift) == (["n1", "n2", "n3"], 3_000_000, 0.01)
     assert budget_config(parse_config(b"", plan_of(PLAN))) is None
 
