--- a/hollystage/plan/check.py
+++ b/hollystage/plan/check.py
@@ -224,8 +224,8 @@
                              "add leases(voters = [...])")
             max_instances = section.most or (fleet.instances if isinstance(fleet, sections.Fleet) else 1)
             if section.floor * max_instances > section.whole:
-                self._report(key_locations.get("floor", location), f"floors of {section.floor} for {max_instances} instances "
-                             f"exceed the whole of {section.whole}",
+                self._report(key_locations.get("floor", location), f"floors of {section.floor} for {max_instances} "
+                             f"instances exceed the whole of {section.whole}",
                              f"write {section.whole // max_instances}, or a lower most")
         for _, location, _ in self._rows_of(fleetwide.Leases):
             if not seen and "budget" not in self.unparsed_names:
