--- a/hollystage/plan/check.py
+++ b/hollystage/plan/check.py
@@ -12,7 +12,7 @@
 from .sections import Section
 
 EntryLocations = list[tuple[Location, dict[str, Location]]]  # of each entry: its own location, and that of each key
-MAX_RATIO_TO_MEDIAN = 50  # a time further from the median was most likely written in another unit
+MAX_RATIO_TO_MEDIAN = 50  # a time beyond this factor was most likely written in another unit
 # key -> the section whose entries it names
 REFERENCED_SECTIONS = {"method": "method", "tenant": "tenant", "ledger": "ledger", "pool": "pool", "heir": "pool",
                        "methods": "method"}
