--- a/hollystage/language/builtins.py
+++ b/hollystage/language/builtins.py
@@ -61,8 +61,8 @@
 def _str(value: Any) -> str:
     """Converts any value to a string; strings are returned unchanged.
 
-    >>> from .units import literal
-    >>> _str(literal("2100ms")), _str([1, "a", None]), _str({"a": True})
+    >>> from .units import parse_quantity
+    >>> _str(parse_quantity("2100ms")), _str([1, "a", None]), _str({"a": True})
     ('2.1s', '[1, "a", None]', '{"a": True}')
     """
     return value if isinstance(value, str) else _format_value(value, 0)
--- a/hollystage/language/diagnostics.py
+++ b/hollystage/language/diagnostics.py
@@ -68,7 +68,8 @@
 
     def has_error_in(self, file: str) -> bool:
         """Whether there is an error in this file."""
-        return any(diagnostic.location.file == file and diagnostic.severity == "error" for diagnostic in self._diagnostics)
+        return any(diagnostic.location.file == file and diagnostic.severity == "error"
+                   for diagnostic in self._diagnostics)
 
     def all(self) -> list[Diagnostic]:
         """All diagnostics by location."""
--- a/hollystage/language/evaluate.py
+++ b/hollystage/language/evaluate.py
@@ -132,7 +132,8 @@
             return None
         self.total_bytes += len(data)
         if self.total_bytes > MAX_TOTAL_BYTES:
-            self.diagnostics.add(location, f"more than {MAX_TOTAL_BYTES >> 20} MiB of source in total", "load fewer or smaller files")
+            self.diagnostics.add(location, f"more than {MAX_TOTAL_BYTES >> 20} MiB of source in total",
+                                 "load fewer or smaller files")
             return None
         text = decode_source(data, name, self.diagnostics)
         if text is None:
@@ -167,7 +168,7 @@
             elif module is not None:
                 if source_name in module.names and source_name not in module.loaded_names:
                     value = module.names[source_name]
-                elif not self.diagnostics.has_error_in(module.name):  # else an invalid statement there may define the name
+                elif not self.diagnostics.has_error_in(module.name):  # else an invalid statement may define the name
                     close = nearest(source_name, [known for known in module.names
                                             if not known.startswith("_") and known not in module.loaded_names])
                     self.diagnostics.add(self._location(position), f"{node.path} does not define {source_name}",
@@ -207,7 +208,8 @@
                     self._assign(node.targets[0].name, value)
             case tree.AugmentedAssign():
                 if self.call_stack:
-                    value = self._apply_operator("+", node.position, self._evaluate(node.target), self._evaluate(node.value))
+                    value = self._apply_operator("+", node.position, self._evaluate(node.target),
+                                                 self._evaluate(node.value))
                     self._assign(node.target.name, value)
             case tree.FunctionDefinition():
                 self._assign(node.name.name, Function(node.name.name, node, self.current_module))
@@ -247,7 +249,8 @@
         if value is UNKNOWN:
             return ()
         if not isinstance(value, list | tuple | dict):
-            raise EvaluationError(node.position, f"{describe(value)} cannot be iterated", "use a list, a dict or range()")
+            raise EvaluationError(node.position, f"{describe(value)} cannot be iterated",
+                                  "use a list, a dict or range()")
         return value
 
     def _unpack(self, targets: list[tree.Name], value: Any, position: Position) -> None:
@@ -255,9 +258,10 @@
             parts: Any = [UNKNOWN] * len(targets)
         elif not isinstance(value, list | tuple):
             raise EvaluationError(position, f"{describe(value)} cannot be unpacked into {len(targets)} names",
-                       "assign it to one name")
+                                  "assign it to one name")
         elif len(value) != len(targets):
-            raise EvaluationError(position, f"{len(value)} values for {len(targets)} names", "use as many names as values")
+            raise EvaluationError(position, f"{len(value)} values for {len(targets)} names",
+                                  "use as many names as values")
         else:
             parts = value
         for target, part in zip(targets, parts, strict=True):
@@ -282,7 +286,8 @@
     def _count_step(self, position: Position) -> None:
         self.steps += 1
         if self.steps > MAX_STEPS:
-            self.diagnostics.add(self._location(position), f"more than {MAX_STEPS} evaluation steps", "shorten the loops")
+            self.diagnostics.add(self._location(position), f"more than {MAX_STEPS} evaluation steps",
+                                 "shorten the loops")
             raise LimitExceededError
 
     def _check_size(self, position: Position, value: Any) -> Any:
@@ -300,8 +305,9 @@
             raise EvaluationError(position, f"a value with more than {max_size} {unit}", "make it smaller")
         self.total_size += size
         if self.total_size > MAX_TOTAL_SIZE:
-            self.diagnostics.add(self._location(position), f"values with more than {MAX_TOTAL_SIZE} elements and characters in total",
-                            "create fewer or smaller values")
+            self.diagnostics.add(self._location(position),
+                                 f"values with more than {MAX_TOTAL_SIZE} elements and characters in total",
+                                 "create fewer or smaller values")
             raise LimitExceededError
         return value
 
@@ -320,7 +326,8 @@
         if name in self.sections:
             return self.sections[name]
         if name == "load":
-            raise EvaluationError(node.position, "load() inside an expression", "move it to the top level of the file")
+            raise EvaluationError(node.position, "load() inside an expression",
+                                  "move it to the top level of the file")
         # a name that is defined nowhere was reported by NameChecker
         if self.diagnostics.has_any_at(self._location(node.position)):
             return UNKNOWN
@@ -359,7 +366,8 @@
             key = self._key(node.key) if node.key is not None else None
             pairs.append((key, self._evaluate(node.value)))
             if len(pairs) > MAX_ITEMS:
-                raise EvaluationError(node.position, f"a value with more than {MAX_ITEMS} elements", "make it smaller")
+                raise EvaluationError(node.position, f"a value with more than {MAX_ITEMS} elements",
+                                      "make it smaller")
             return
         clause = node.clauses[index]
         if isinstance(clause, tree.IfClause):
@@ -417,18 +425,20 @@
         if operator in ("in", "not in"):
             if isinstance(right, str) and not isinstance(left, str) or not isinstance(
                     right, str | list | tuple | dict):
-                raise EvaluationError(node.position, f"{describe(left)} cannot be searched for in {describe(right)}", "use a list")
+                raise EvaluationError(node.position, f"{describe(left)} cannot be searched for in {describe(right)}",
+                                      "use a list")
             try:
                 return (left in right) is (operator == "in")
             except TypeError:
-                raise EvaluationError(node.position, f"{describe(left)} cannot be a key", "use a string or a number") from None
+                raise EvaluationError(node.position, f"{describe(left)} cannot be a key",
+                                      "use a string or a number") from None
         left_dimension, right_dimension = dimension_of(left), dimension_of(right)
         if left_dimension is not None and right_dimension is not None and left_dimension is not right_dimension:
             try:
                 arithmetic("-", left, right)
             except QuantityError as error:
                 raise EvaluationError(node.position, f"{describe(left)} {operator} {describe(right)} mixes units",
-                           error.fix) from error
+                                      error.fix) from error
         if operator in ("==", "!="):
             return (left == right) is (operator == "==")
         if left_dimension is not None and right_dimension is not None:
@@ -436,8 +446,9 @@
         elif isinstance(left, str) and isinstance(right, str):
             return {"<": left < right, "<=": left <= right, ">": left > right, ">=": left >= right}[operator]
         else:
-            raise EvaluationError(node.position, f"{operator} is not defined for {describe(left)} and {describe(right)}",
-                       "compare two numbers, two quantities or two strings")
+            raise EvaluationError(node.position,
+                                  f"{operator} is not defined for {describe(left)} and {describe(right)}",
+                                  "compare two numbers, two quantities or two strings")
         return {"<": a < b, "<=": a <= b, ">": a > b, ">=": a >= b}[operator]
 
     def _operator_chain(self, node: tree.OperatorChain) -> Any:
@@ -459,7 +470,7 @@
                     return self._check_size(position, sequence * max(0, count))
         if operator == "+" and isinstance(left, str) != isinstance(right, str):
             raise EvaluationError(position, f"+ is not defined for {describe(left)} and {describe(right)}",
-                       "convert the other operand with str()")
+                                  "convert the other operand with str()")
         try:
             return arithmetic(operator, left, right)
         except QuantityError as error:
@@ -477,7 +488,8 @@
         if value is UNKNOWN:
             return value
         if dimension_of(value) is None:
-            raise EvaluationError(node.position, f"a sign is not defined for {describe(value)}", "use a number or quantity")
+            raise EvaluationError(node.position, f"a sign is not defined for {describe(value)}",
+                                  "use a number or quantity")
         return arithmetic("*", value, -1) if node.negates else value
 
     def _index(self, node: tree.Index) -> Any:
@@ -508,13 +520,14 @@
             if node.name in value.fields:
                 return value.fields[node.name]
             close = nearest(node.name, value.fields)
-            raise EvaluationError(node.position, f"{value.described} does not set {node.name}", f"write {close}" if close
-                       else "set it there")
+            raise EvaluationError(node.position, f"{value.described} does not set {node.name}",
+                                  f"write {close}" if close else "set it there")
         methods = METHODS.get(type(value), {})
         if node.name not in methods:
             close = nearest(node.name, methods)
-            raise EvaluationError(node.position, f"{describe(value)} has no method {node.name}", f"write {close}" if close
-                       else "see the table of functions in docs/configuration.md")
+            raise EvaluationError(node.position, f"{describe(value)} has no method {node.name}",
+                                  f"write {close}" if close
+                                  else "see the table of functions in docs/configuration.md")
         return Builtin(node.name, lambda *arguments: methods[node.name](value, *arguments))
 
     def _call(self, node: tree.Call) -> Any:
@@ -552,7 +565,8 @@
             raise EvaluationError(node.position, f"{function.name}() does not accept {len(arguments)} arguments",
                        "see the table of functions in docs/configuration.md") from None
 
-    def _call_section(self, node: tree.Call, section: SectionFunction, call_arguments: list[tuple[tree.Argument, Any]]) -> Any:
+    def _call_section(self, node: tree.Call, section: SectionFunction,
+                      call_arguments: list[tuple[tree.Argument, Any]]) -> Any:
         values_by_name: dict[str, ArgumentValue] = {}
         positional = list(section.positional)
         for argument, value in call_arguments:
@@ -563,14 +577,16 @@
                                "write NAME = before it")
                 name = positional.pop(0)
             if name not in values_by_name:
-                values_by_name[name] = ArgumentValue(value, self._location(argument.value.position if argument.name else argument.position))
+                values_by_name[name] = ArgumentValue(value, self._location(
+                    argument.value.position if argument.name else argument.position))
         return section.enter(self._location(node.position), values_by_name)
 
     def _call_function(self, node: tree.Call, function: Function, arguments: list[tuple[tree.Argument, Any]]) -> Any:
         if any(function is other for other in self.call_stack):
             raise EvaluationError(node.position, f"{function.name}() calls itself", "use a loop")
         if len(self.call_stack) >= MAX_CALL_DEPTH:
-            raise EvaluationError(node.position, f"more than {MAX_CALL_DEPTH} nested function calls", "nest fewer calls")
+            raise EvaluationError(node.position, f"more than {MAX_CALL_DEPTH} nested function calls",
+                                  "nest fewer calls")
         bound = self._bind_arguments(node, function, arguments)
         outer = self.current_module, self.locals
         self.current_module, self.locals = function.module, [bound]
@@ -597,7 +613,8 @@
         for index, (argument, value) in enumerate(arguments):
             name = argument.name or (known[index] if index < len(known) else "")
             if not name:
-                raise EvaluationError(argument.position, f"{function.name}() takes at most {len(known)} arguments", "remove this one")
+                raise EvaluationError(argument.position, f"{function.name}() takes at most {len(known)} arguments",
+                                      "remove this one")
             if name not in known:
                 close = nearest(name, known)
                 raise EvaluationError(argument.position, f"{function.name}() has no parameter {name}",
@@ -627,6 +644,6 @@
 
     _EVALUATORS: dict[type[Node], Any] = {
         tree.Literal: _literal, tree.Name: _name, tree.ListLiteral: _list, tree.DictLiteral: _dict,
-        tree.Comprehension: _comprehension, tree.Conditional: _conditional, tree.BoolOperation: _bool_operation, tree.Negation: _negation,
-        tree.Comparison: _comparison, tree.OperatorChain: _operator_chain, tree.UnaryOperation: _unary_operation, tree.Index: _index,
-        tree.Attribute: _attribute, tree.Call: _call}
+        tree.Comprehension: _comprehension, tree.Conditional: _conditional, tree.BoolOperation: _bool_operation,
+        tree.Negation: _negation, tree.Comparison: _comparison, tree.OperatorChain: _operator_chain,
+        tree.UnaryOperation: _unary_operation, tree.Index: _index, tree.Attribute: _attribute, tree.Call: _call}
--- a/hollystage/language/format.py
+++ b/hollystage/language/format.py
@@ -54,7 +54,8 @@
         if self.comments_below:
             return True
         return any(element.comments_above or element.trailing_comment or any(
-            isinstance(part, BracketGroup) and part.has_comments() for part in element.parts) for element in self.elements)
+            isinstance(part, BracketGroup) and part.has_comments() for part in element.parts)
+            for element in self.elements)
 
 
 def format_source(text: str, name: str) -> str:
@@ -248,7 +249,8 @@
 
 def _format_flat_group(group: BracketGroup) -> str:
     inside = ", ".join(_format_flat(element.parts) for element in group.elements)
-    single = group.opening.type == "LPAR" and not group.follows_value and len(group.elements) == 1 and group.trailing_comma
+    single = group.opening.type == "LPAR" and not group.follows_value and len(group.elements) == 1 \
+        and group.trailing_comma
     return f"{group.opening.text}{inside}{',' if single else ''}{group.closing.text}"
 
 
--- a/hollystage/language/layout.py
+++ b/hollystage/language/layout.py
@@ -163,7 +163,8 @@
                 # if a new statement starts while a bracket is open, the closing bracket was probably forgotten
                 if index < len(self.tokens) and self._starts_statement(index) \
                         and not self._is_closed_later(index, len(opened)):
-                    self.add_error(opened[-1], f"'{opened[-1]}' is never closed", f"add '{self._closing_bracket(opened[-1])}'")
+                    self.add_error(opened[-1], f"'{opened[-1]}' is never closed",
+                                   f"add '{self._closing_bracket(opened[-1])}'")
                     return index, False
                 continue
             index += 1
@@ -190,7 +191,8 @@
             if not too_deep:
                 output.append(token)
         if opened:
-            self.add_error(opened[-1], f"'{opened[-1]}' is never closed", f"add '{self._closing_bracket(opened[-1])}'")
+            self.add_error(opened[-1], f"'{opened[-1]}' is never closed",
+                           f"add '{self._closing_bracket(opened[-1])}'")
             is_valid = False
         if len(output) == start:
             is_valid = False
--- a/hollystage/language/names.py
+++ b/hollystage/language/names.py
@@ -121,7 +121,8 @@
                 self._check_expression(node.target, scope)
                 self._check_expression(node.value, scope)
                 if scope is self.file_scope:
-                    self._report(node.position, "+= outside a def", f"write NAME = {node.target.name} + ... with a new name")
+                    self._report(node.position, "+= outside a def",
+                                 f"write NAME = {node.target.name} + ... with a new name")
             case tree.Return():
                 if node.value is not None:
                     self._check_expression(node.value, scope)
--- a/hollystage/language/sources.py
+++ b/hollystage/language/sources.py
@@ -6,7 +6,8 @@
 
 from .diagnostics import Diagnostics, Location, nearest
 
-MAX_SOURCE_BYTES, MAX_TOTAL_BYTES, MAX_FILES = 1 << 20, 8 << 20, 64  # bytes of one file; bytes and number of all files of one run
+# bytes of one file; bytes and number of all files of one run
+MAX_SOURCE_BYTES, MAX_TOTAL_BYTES, MAX_FILES = 1 << 20, 8 << 20, 64
 
 
 class SourceError(ValueError):
@@ -112,7 +113,7 @@
     'shared/units.star'
     >>> resolve_path("../units.star", "a.star")
     Traceback (most recent call last):
-    hollystage.language.sources.Refused: "../units.star" leads out of the folder of the plan
+    hollystage.language.sources.SourceError: "../units.star" leads out of the folder of the plan
     """
     if not path or "\0" in path or "\\" in path:
         raise SourceError(f'"{path}" is not a valid file name', 'write load("file.star", "NAME")')
--- a/hollystage/language/syntax.py
+++ b/hollystage/language/syntax.py
@@ -16,7 +16,8 @@
 
 COMPARISON_TOKENS = {"EQ", "NE", "LE", "GE", "LT", "GT", "IN"}
 MAX_SHAPES, MAX_SHAPE_TOKENS = 500, 400  # statement shapes in the cache; tokens of a cached shape
-MAX_STATEMENT_TOKENS, MAX_PARSED_TOKENS = 20_000, 100_000  # tokens of one statement; tokens parsed in one run, without cached shapes
+# tokens of one statement; tokens parsed in one run, without statements of cached shapes
+MAX_STATEMENT_TOKENS, MAX_PARSED_TOKENS = 20_000, 100_000
 
 ESCAPES = {"n": "\n", "t": "\t", "\\": "\\", '"': '"', "'": "'"}
 TOKEN_DESCRIPTIONS = {"RPAR": "')'", "RSQB": "']'", "RBRACE": "'}'", "COMMA": "','", "COLON": "':'", "EQUAL": "'='",
@@ -46,7 +47,8 @@
         if char == "\\":
             char = next(chars)
             if char not in ESCAPES:
-                raise _ParseError(_position(token), f"'\\{char}' is not an escape sequence", r"write \\ for a backslash")
+                raise _ParseError(_position(token), f"'\\{char}' is not an escape sequence",
+                                  r"write \\ for a backslash")
             char = ESCAPES[char]
         parts.append(char)
     return "".join(parts)
@@ -89,7 +91,7 @@
         return tree.ListLiteral(_position(parts[0]), [], True)
 
     def tuple_(self, parts: list[Any]) -> Node:
-        return tree.ListLiteral(parts[0].at, [part for part in parts if isinstance(part, Node)], True)
+        return tree.ListLiteral(parts[0].position, [part for part in parts if isinstance(part, Node)], True)
 
     def list_(self, parts: list[Any]) -> Node:
         return tree.ListLiteral(_position(parts[0]), [part for part in parts if isinstance(part, Node)])
@@ -113,20 +115,20 @@
         return tree.ForClause(_position(parts[0]), parts[1], parts[-1])
 
     def only(self, parts: list[Any]) -> Node:
-        return tree.IfClause(parts[0].at, parts[0])
+        return tree.IfClause(parts[0].position, parts[0])
 
     def clauses(self, parts: list[Any]) -> Any:
         return parts
 
     def choice(self, parts: list[Any]) -> Node:
         pairs = list(zip(parts[1::2], parts[0:-1:2], strict=True))
-        return tree.Conditional(parts[0].at, pairs, parts[-1])
+        return tree.Conditional(parts[0].position, pairs, parts[-1])
 
     def any_(self, parts: list[Any]) -> Node:
-        return tree.BoolOperation(parts[0].at, True, parts)
+        return tree.BoolOperation(parts[0].position, True, parts)
 
     def all_(self, parts: list[Any]) -> Node:
-        return tree.BoolOperation(parts[0].at, False, parts)
+        return tree.BoolOperation(parts[0].position, False, parts)
 
     def negation(self, parts: list[Any]) -> Node:
         return tree.Negation(_position(parts[0]), len(parts) - 1, parts[-1])
@@ -138,18 +140,19 @@
         return tree.Comparison(parts[1][1], parts[1][0], parts[0], parts[2])
 
     def chain(self, parts: list[Any]) -> Node:
-        rest = [(str(operator), _position(operator), part) for operator, part in zip(parts[1::2], parts[2::2], strict=True)]
-        return tree.OperatorChain(parts[0].at, parts[0], rest)
+        rest = [(str(operator), _position(operator), part)
+                for operator, part in zip(parts[1::2], parts[2::2], strict=True)]
+        return tree.OperatorChain(parts[0].position, parts[0], rest)
 
     def signed(self, parts: list[Any]) -> Node:
         minus = sum(token.type == "MINUS" for token in parts[:-1]) % 2 == 1
         return tree.UnaryOperation(_position(parts[0]), minus, parts[-1])
 
     def call(self, parts: list[Any]) -> Any:
-        return lambda node: tree.Call(node.at, node, parts[1] or [])
+        return lambda node: tree.Call(node.position, node, parts[1] or [])
 
     def index(self, parts: list[Any]) -> Any:
-        return lambda node: tree.Index(node.at, node, parts[1])
+        return lambda node: tree.Index(node.position, node, parts[1])
 
     def attribute(self, parts: list[Any]) -> Any:
         return lambda node: tree.Attribute(_position(parts[0]), node, str(parts[0]))
@@ -157,7 +160,7 @@
     def postfix(self, parts: list[Any]) -> Any:
         node = parts[0]
         if len(parts) > 20:
-            raise _ParseError(node.at, "more than 20 calls, indexes and attributes in a row",
+            raise _ParseError(node.position, "more than 20 calls, indexes and attributes in a row",
                           "assign the intermediate values to names")
         for wrap in parts[1:]:
             node = wrap(node)
@@ -167,10 +170,10 @@
         return tree.Argument(_position(parts[0]), str(parts[0]), parts[2])
 
     def bare_comprehension(self, parts: list[Any]) -> Node:
-        raise _ParseError(parts[0].at, "a comprehension without brackets", "put it in [ ]")
+        raise _ParseError(parts[0].position, "a comprehension without brackets", "put it in [ ]")
 
     def arguments(self, parts: list[Any]) -> Any:
-        return [part if isinstance(part, tree.Argument) else tree.Argument(part.at, "", part) for part in parts]
+        return [part if isinstance(part, tree.Argument) else tree.Argument(part.position, "", part) for part in parts]
 
     # Statements
 
@@ -181,7 +184,7 @@
             if not isinstance(target, tree.Name):
                 raise _ParseError(target.position, "only names can be assigned to", "write NAME = value")
             names.append(target)
-        return tree.Assign(left.at, names, value, isinstance(left, tree.ListLiteral))
+        return tree.Assign(left.position, names, value, isinstance(left, tree.ListLiteral))
 
     def augment(self, parts: list[Any]) -> Node:
         target = tree.Name(_position(parts[0]), str(parts[0]))
@@ -191,20 +194,23 @@
         node = parts[0]
         if isinstance(node, tree.Call) and isinstance(node.function, tree.Name) and node.function.name == "load":
             return self._build_load(node)
-        return tree.ExpressionStatement(node.at, node)
+        return tree.ExpressionStatement(node.position, node)
 
     @staticmethod
     def _build_load(node: tree.Call) -> Node:
         strings = [argument.value for argument in node.arguments]
         for string in strings:
             if not isinstance(string, tree.Literal) or not isinstance(string.value, str):
-                raise _ParseError(string.position, "load() accepts only string literals", 'write load("file.star", "NAME")')
+                raise _ParseError(string.position, "load() accepts only string literals",
+                                  'write load("file.star", "NAME")')
         if len(strings) < 2 or node.arguments[0].name:
-            raise _ParseError(node.position, "load() needs a file and at least one name", 'write load("file.star", "NAME")')
+            raise _ParseError(node.position, "load() needs a file and at least one name",
+                              'write load("file.star", "NAME")')
         names = []
         for argument in node.arguments[1:]:
             source_name = argument.value.value  # type: ignore[attr-defined]
-            names.append((tree.Name(argument.position, argument.name or source_name), source_name, argument.value.position))
+            names.append((tree.Name(argument.position, argument.name or source_name), source_name,
+                          argument.value.position))
         return tree.Load(node.position, strings[0].value, strings[0].position, names)  # type: ignore[attr-defined]
 
     def return_(self, parts: list[Any]) -> Node:
@@ -236,7 +242,7 @@
     def branch(self, parts: list[Any]) -> Node:
         otherwise = parts[-1] or []
         branches = list(zip(parts[0:-1:2], parts[1:-1:2], strict=True))
-        return tree.IfStatement(branches[0][0].at, branches, otherwise)
+        return tree.IfStatement(branches[0][0].position, branches, otherwise)
 
 
 Shape = tuple[Callable[[list[Any]], Any], list[Any]] | int | None  # builder method and children, or index of a token
@@ -277,11 +283,13 @@
         shape = self.shapes.get(kinds)
         if shape is None:
             self.parsed_tokens += len(tokens)
-            if len(tokens) > MAX_STATEMENT_TOKENS:  # bounds the time for an answer: parsing takes about 25 us per token
-                raise _ParseError(_position(tokens[0]), f"a statement of more than {MAX_STATEMENT_TOKENS} tokens", "split it")
+            if len(tokens) > MAX_STATEMENT_TOKENS:  # bounds the response time: parsing takes about 25 us per token
+                raise _ParseError(_position(tokens[0]), f"a statement of more than {MAX_STATEMENT_TOKENS} tokens",
+                                  "split it")
             if self.parsed_tokens > MAX_PARSED_TOKENS:
-                raise _ParseError(_position(tokens[0]), f"more than {MAX_PARSED_TOKENS} tokens in statements of different forms",
-                              "write repeated statements in the same form, or use loops")
+                raise _ParseError(_position(tokens[0]),
+                                  f"more than {MAX_PARSED_TOKENS} tokens in statements of different forms",
+                                  "write repeated statements in the same form, or use loops")
             parser = grammar().parse_interactive()
             result: Any = None
             for token in (*tokens, Token("$END", "", tokens[-1].line, tokens[-1].column)):
@@ -311,14 +319,14 @@
     token = error.token
     location = Location(file, token.line, token.column)
     before = next((one for one, other in zip(tokens, tokens[1:], strict=False) if other is token), None)
-    expected = set(error.accepts or error.expected_members)
+    expected = set(error.accepts or error.expected)
     if before is not None and before.type == "NUMBER" and token.text in UNITS:
         diagnostics.add(location, f"a space between {before} and its unit", f"write {before}{token}")
         return
     index = next((index for index, other in enumerate(tokens) if other is token), 0)
     if before is not None and before.type == "REMAINDER" and index > 1 and tokens[index - 2].type == "NUMBER":
-        diagnostics.add(Location(file, before.line, before.column), f"a space between {tokens[index - 2]} and its unit",
-                   f"write {tokens[index - 2]}%")
+        diagnostics.add(Location(file, before.line, before.column),
+                        f"a space between {tokens[index - 2]} and its unit", f"write {tokens[index - 2]}%")
         return
     got = {"_NEWLINE": "end of line", "$END": "end of file", "_INDENT": "indented block",
            "_DEDENT": "end of block"}.get(token.type, f"'{token}'")
--- a/hollystage/language/tokens.py
+++ b/hollystage/language/tokens.py
@@ -15,7 +15,8 @@
 from lark.lark import PostLex
 from lark.lexer import PatternStr
 
-UNUSED_TERMINALS = ("NEWLINE", "BAD_NUMBER", "RESERVED", "LONG_STRING", "OPEN_STRING", "SEMICOLON", "BACKSLASH", "STRANGE")
+UNUSED_TERMINALS = ("NEWLINE", "BAD_NUMBER", "RESERVED", "LONG_STRING", "OPEN_STRING", "SEMICOLON", "BACKSLASH",
+                    "STRANGE")
 
 
 class Token(NamedTuple):
--- a/hollystage/language/units.py
+++ b/hollystage/language/units.py
@@ -34,16 +34,18 @@
     "/s": (RATE, Fraction(1)), "/min": (RATE, Fraction(1, 60)), "/h": (RATE, Fraction(1, 3600)),
     "%": (SHARE, Fraction(1, 100)),
 }
-ALLOWS_DECIMALS = {"us": 1, "ms": 1, "s": 1, "min": 0, "h": 0, "B": 1, "KiB": 1, "MiB": 1, "GiB": 1, "/s": 1, "/min": 0,
-         "/h": 0, "%": 1}  # 0: the unit is used only for whole numbers
+# 0: the unit is used only for whole numbers
+ALLOWS_DECIMALS = {"us": 1, "ms": 1, "s": 1, "min": 0, "h": 0, "B": 1, "KiB": 1, "MiB": 1, "GiB": 1, "/s": 1,
+                   "/min": 0, "/h": 0, "%": 1}
 EXAMPLE_LITERALS = {TIME: "830ms", SIZE: "24KiB", RATE: "190/s", SHARE: "30%", NUMBER: "2"}
 DIMENSION_LABELS = {TIME: "a time", SIZE: "a size", RATE: "a rate", SHARE: "a share", NUMBER: "a number"}
 # common wrong spellings of units, for suggestions
-UNIT_MISSPELLINGS = {"us": ("usec", "micros", "microseconds"), "ms": ("msec", "msecs", "millis", "milliseconds", "Ms", "MS"),
-         "s": ("sec", "secs", "second", "seconds", "S"), "min": ("m", "mins", "minute", "minutes"),
-         "h": ("hr", "hrs", "hour", "hours", "H"), "B": ("b", "byte", "bytes"),
-         "KiB": ("k", "K", "kb", "KB", "kB", "kib", "Ki"), "MiB": ("M", "mb", "MB", "mB", "mib", "Mi"),
-         "GiB": ("g", "G", "gb", "GB", "gB", "gib", "Gi"), "%": ("pct", "percent")}
+UNIT_MISSPELLINGS = {
+    "us": ("usec", "micros", "microseconds"), "ms": ("msec", "msecs", "millis", "milliseconds", "Ms", "MS"),
+    "s": ("sec", "secs", "second", "seconds", "S"), "min": ("m", "mins", "minute", "minutes"),
+    "h": ("hr", "hrs", "hour", "hours", "H"), "B": ("b", "byte", "bytes"),
+    "KiB": ("k", "K", "kb", "KB", "kB", "kib", "Ki"), "MiB": ("M", "mb", "MB", "mB", "mib", "Mi"),
+    "GiB": ("g", "G", "gb", "GB", "gB", "gib", "Gi"), "%": ("pct", "percent")}
 
 
 class QuantityError(ValueError):
@@ -77,8 +79,8 @@
 def parse_quantity(text: str) -> Quantity:
     """Parses a literal with a unit.
 
-    >>> parse_quantity("2.1s").amount, parse_quantity("30%").amount, parse_quantity("24KiB").amount, parse_quantity("6/min").amount
-    (Fraction(2100000, 1), Fraction(3, 10), Fraction(24576, 1), Fraction(1, 10))
+    >>> [parse_quantity(text).amount for text in ("2.1s", "30%", "24KiB", "6/min")]
+    [Fraction(2100000, 1), Fraction(3, 10), Fraction(24576, 1), Fraction(1, 10)]
     """
     match = re.fullmatch(r"([0-9]+(?:\.[0-9]+)?)(.+)", text)
     if match is None or match[2] not in UNITS:
@@ -234,10 +236,14 @@
     Raises:
         QuantityError: the dimensions do not allow the operation, or a division by zero.
 
-    >>> arithmetic("+", parse_quantity("2s"), parse_quantity("30ms")), arithmetic("/", parse_quantity("1s"), parse_quantity("250ms"))
-    (2030ms, 4)
-    >>> arithmetic("*", parse_quantity("190/s"), parse_quantity("2s")), arithmetic("*", parse_quantity("30%"), parse_quantity("1s"))
-    (380, 300ms)
+    >>> arithmetic("+", parse_quantity("2s"), parse_quantity("30ms"))
+    2030ms
+    >>> arithmetic("/", parse_quantity("1s"), parse_quantity("250ms"))
+    4
+    >>> arithmetic("*", parse_quantity("190/s"), parse_quantity("2s"))
+    380
+    >>> arithmetic("*", parse_quantity("30%"), parse_quantity("1s"))
+    300ms
     """
     left_dimension, right_dimension = dimension_of(left), dimension_of(right)
     if left_dimension is None or right_dimension is None:
@@ -265,7 +271,8 @@
         if left_dimension is NUMBER and right_dimension in (TIME, RATE):
             return make_amount(a * 10 ** 6 / b, RATE if right_dimension is TIME else TIME)
     elif left_dimension is right_dimension:
-        return make_amount(Fraction(a // b), NUMBER) if operator == "//" else make_amount(a - b * (a // b), left_dimension)
+        return make_amount(Fraction(a // b), NUMBER) if operator == "//" \
+            else make_amount(a - b * (a // b), left_dimension)
     raise QuantityError(f"the result of {describe(left)} {operator} {describe(right)} has no valid unit",
                    "check both operands")
 
@@ -277,4 +284,5 @@
             suggestion = suggest_quantity(number_without_unit, quantity.dimension)
             return QuantityError(f"{describe(left)} {operator} {describe(right)} mixes units",
                             f"write {suggestion} for {format_amount(number_without_unit)}")
-    return QuantityError(f"{describe(left)} {operator} {describe(right)} mixes units", "use quantities of the same kind")
+    return QuantityError(f"{describe(left)} {operator} {describe(right)} mixes units",
+                         "use quantities of the same kind")
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -121,9 +121,10 @@
     def without_positions(part):
         if isinstance(part, Node):
             return [type(part).__name__, *(without_positions(getattr(part, name)) for kind in type(part).__mro__
-                                           for name in getattr(kind, "__slots__", ()) if not name.endswith("at"))]
+                                           for name in getattr(kind, "__slots__", ())
+                                           if not name.endswith("position"))]
         if isinstance(part, list | tuple):
-            return [without_positions(item) for item in part if type(item).__name__ != "At"]
+            return [without_positions(item) for item in part if type(item).__name__ != "Position"]
         return part
 
     diagnostics = Diagnostics()
@@ -136,7 +137,8 @@
 @given(PROGRAMS)
 def test_formatting_preserves_syntax_tree(text):
     formatted_text = format_source(text, "a.star")
-    assert tree_shape(formatted_text) == tree_shape(text) and format_source(formatted_text, "a.star") == formatted_text
+    assert tree_shape(formatted_text) == tree_shape(text) \
+        and format_source(formatted_text, "a.star") == formatted_text
     assert comments(text) == comments(formatted_text)
 
 
@@ -147,8 +149,8 @@
                                            "x"]), max_size=60).map("".join).map(str.encode)))
 def test_any_input_gives_diagnostics_or_a_plan(data):
     result = read_text(data)
-    assert all(diagnostic.location.line >= 1 and diagnostic.location.column >= 1 and diagnostic.message and diagnostic.fix
-               for diagnostic in result.diagnostics)
+    assert all(diagnostic.location.line >= 1 and diagnostic.location.column >= 1 and diagnostic.message
+               and diagnostic.fix for diagnostic in result.diagnostics)
     try:
         format_source(data.decode("utf-8", "replace"), "a.star")
     except ScriptError as error:
