--- a/hollystage/language/builtins.py
+++ b/hollystage/language/builtins.py
@@ -83,7 +83,7 @@
         return f"[{body}]" if isinstance(value, list) else f"({body})"
     if isinstance(value, dict):
         return "{" + _check_length(", ".join(f"{_format_value(key, depth + 1)}: {_format_value(item, depth + 1)}"
-                                        for key, item in list(value.items())[:1000])) + "}"
+                                             for key, item in list(value.items())[:1000])) + "}"
     return describe(value)
 
 
@@ -173,7 +173,7 @@
     parts = text.split("{}")
     if len(parts) - 1 != len(values):
         raise ArgumentError(f"{len(parts) - 1} placeholders {{}} for {len(values)} values",
-                      "pass one value for each placeholder")
+                            "pass one value for each placeholder")
     texts = [_str(value) for value in values]
     return _check_length("".join(part + value for part, value in zip(parts, [*texts, ""], strict=True)))
 
--- a/hollystage/language/evaluate.py
+++ b/hollystage/language/evaluate.py
@@ -84,8 +84,9 @@
 class Program:
     """One evaluation of a root file and all files that it loads."""
 
-    def __init__(self, folder: SourceFolder, sections: Mapping[str, SectionFunction], faults: Diagnostics) -> None:
-        self.folder, self.sections, self.diagnostics = folder, sections, faults
+    def __init__(self, folder: SourceFolder, sections: Mapping[str, SectionFunction],
+                 diagnostics: Diagnostics) -> None:
+        self.folder, self.sections, self.diagnostics = folder, sections, diagnostics
         self.modules: dict[str, Module | None] = {}  # by file name; None for a file that cannot be used
         self.loading: list[tuple[str, Location]] = []
         self.parser = Parser()
@@ -117,7 +118,7 @@
             chain = [loading_name for loading_name, _ in self.loading]
             chain = [*chain[chain.index(name):], name]
             self.diagnostics.add(location, f"files that load each other: {' -> '.join(chain)}",
-                            "move the shared definitions into a separate file")
+                                 "move the shared definitions into a separate file")
             return None
         if name in self.modules:
             return self.modules[name]
@@ -164,15 +165,15 @@
             value: Any = UNKNOWN
             if source_name.startswith("_"):
                 self.diagnostics.add(self._location(position), f"{source_name} is private to {node.path}",
-                                "rename it there without the _")
+                                     "rename it there without the _")
             elif module is not None:
                 if source_name in module.names and source_name not in module.loaded_names:
                     value = module.names[source_name]
                 elif not self.diagnostics.has_error_in(module.name):  # else an invalid statement may define the name
                     close = nearest(source_name, [known for known in module.names
-                                            if not known.startswith("_") and known not in module.loaded_names])
+                                                  if not known.startswith("_") and known not in module.loaded_names])
                     self.diagnostics.add(self._location(position), f"{node.path} does not define {source_name}",
-                                    f"write {close}" if close else "define it there")
+                                         f"write {close}" if close else "define it there")
             self.current_module.names[target.name] = value
             self.current_module.loaded_names.add(target.name)
 
@@ -446,8 +447,7 @@
         elif isinstance(left, str) and isinstance(right, str):
             return {"<": left < right, "<=": left <= right, ">": left > right, ">=": left >= right}[operator]
         else:
-            raise EvaluationError(node.position,
-                                  f"{operator} is not defined for {describe(left)} and {describe(right)}",
+            raise EvaluationError(node.position, f"{describe(left)} {operator} {describe(right)} is not defined",
                                   "compare two numbers, two quantities or two strings")
         return {"<": a < b, "<=": a <= b, ">": a > b, ">=": a >= b}[operator]
 
@@ -469,7 +469,7 @@
                     self._check_result_size(position, sequence, len(sequence) * max(0, count))
                     return self._check_size(position, sequence * max(0, count))
         if operator == "+" and isinstance(left, str) != isinstance(right, str):
-            raise EvaluationError(position, f"+ is not defined for {describe(left)} and {describe(right)}",
+            raise EvaluationError(position, f"{describe(left)} + {describe(right)} is not defined",
                                   "convert the other operand with str()")
         try:
             return arithmetic(operator, left, right)
@@ -501,15 +501,15 @@
                 return value[key]
             except (KeyError, TypeError):
                 close = nearest(key, [k for k in value if isinstance(k, str)]) if isinstance(key, str) else None
-                raise EvaluationError(node.key.position, f"unknown key: {describe(key)}", f'write "{close}"' if close
-                           else "use a key of the dict") from None
+                raise EvaluationError(node.key.position, f"unknown key: {describe(key)}",
+                                      f'write "{close}"' if close else "use a key of the dict") from None
         if not isinstance(value, list | tuple | str):
             raise EvaluationError(node.position, f"{describe(value)} cannot be indexed", "use a list or a dict")
         if type(key) is not int:
             raise EvaluationError(node.key.position, f"{describe(key)} is not an index", "use a whole number")
         if not -len(value) <= key < len(value):
             raise EvaluationError(node.key.position, f"index {key} is out of range for {len(value)} elements",
-                       f"use 0 to {len(value) - 1}" if len(value) else "check whether it is empty")
+                                  f"use 0 to {len(value) - 1}" if len(value) else "check whether it is empty")
         return value[key]
 
     def _attribute(self, node: tree.Attribute) -> Any:
@@ -552,7 +552,7 @@
         for argument, value in arguments:
             if argument.name:
                 raise EvaluationError(argument.position, f"{function.name}() has no keyword argument {argument.name}",
-                           "pass the value without a name")
+                                      "pass the value without a name")
             if value is UNKNOWN:
                 return UNKNOWN
         try:
@@ -563,7 +563,7 @@
             raise EvaluationError(node.position, str(error), error.fix) from error
         except TypeError:  # too few or too many arguments; the functions check everything else
             raise EvaluationError(node.position, f"{function.name}() does not accept {len(arguments)} arguments",
-                       "see the table of functions in docs/configuration.md") from None
+                                  "see the table of functions in docs/configuration.md") from None
 
     def _call_section(self, node: tree.Call, section: SectionFunction,
                       call_arguments: list[tuple[tree.Argument, Any]]) -> Any:
@@ -574,7 +574,7 @@
             if not name:
                 if not positional:
                     raise EvaluationError(argument.position, "a positional argument that is not allowed here",
-                               "write NAME = before it")
+                                          "write NAME = before it")
                 name = positional.pop(0)
             if name not in values_by_name:
                 values_by_name[name] = ArgumentValue(value, self._location(
@@ -605,8 +605,8 @@
             self.current_module, self.locals = outer
         return None
 
-    def _bind_arguments(self, node: tree.Call, function: Function, arguments: list[tuple[tree.Argument, Any]]
-                   ) -> dict[str, Any]:
+    def _bind_arguments(self, node: tree.Call, function: Function,
+                        arguments: list[tuple[tree.Argument, Any]]) -> dict[str, Any]:
         parameters = function.node.parameters
         known = [name.name for name, _ in parameters]
         bound: dict[str, Any] = {}
@@ -618,14 +618,14 @@
             if name not in known:
                 close = nearest(name, known)
                 raise EvaluationError(argument.position, f"{function.name}() has no parameter {name}",
-                           f"write {close}" if close else "remove it")
+                                      f"write {close}" if close else "remove it")
             bound[name] = value
         for parameter, default in parameters:
             if parameter.name in bound:
                 continue
             if default is None:
                 raise EvaluationError(node.position, f"{function.name}() is called without {parameter.name}",
-                       f"add {parameter.name} = ...")
+                                      f"add {parameter.name} = ...")
             outer = self.current_module, self.locals
             self.current_module, self.locals = function.module, []
             try:
--- a/hollystage/language/format.py
+++ b/hollystage/language/format.py
@@ -69,10 +69,10 @@
     if a:
         b(c = -1)
     """
-    faults = Diagnostics()
-    _, scan = Parser().parse(text, name, faults)
-    if faults.errors():
-        raise ScriptError(faults.all())
+    diagnostics = Diagnostics()
+    _, scan = Parser().parse(text, name, diagnostics)
+    if diagnostics.errors():
+        raise ScriptError(diagnostics.all())
     return "\n".join(_Formatter(scan.tokens).format_lines())
 
 
@@ -111,9 +111,9 @@
         self.output.append("")
         return self.output if len(self.output) > 1 else [""]
 
-    def _insert_gap(self, position: int) -> None:
+    def _insert_gap(self, index: int) -> None:
         """Marks a blank line between the pending comments."""
-        self.pending_comments.insert(position, Token("NEWLINE", "", 0, 0))
+        self.pending_comments.insert(index, Token("NEWLINE", "", 0, 0))
 
     def _append_blank_line(self) -> None:
         if self.output and self.output[-1]:
@@ -142,7 +142,7 @@
         """Formats the logical line at the current token."""
         indent = INDENT_WIDTH * (len(self.block_columns) - 1)
         element, trailing_comment = Element(), ""
-        last = self.tokens[self.index]
+        last_token = self.tokens[self.index]
         while self.index < len(self.tokens):
             token = self.tokens[self.index]
             if token.type == "NEWLINE":
@@ -156,8 +156,8 @@
             else:
                 element.parts.append(token)
                 self.index += 1
-            last = token
-        self.opens_block = last.type == "COLON"
+            last_token = token
+        self.opens_block = last_token.type == "COLON"
         # a trailing comment does not count towards the line width
         rows = _wrap(element.parts, indent, 0)
         if trailing_comment:
@@ -169,10 +169,12 @@
         opening = self.tokens[self.index]
         self.index += 1
         previous = before[-1] if before else None
-        calls = isinstance(previous, BracketGroup) or isinstance(previous, Token) and previous.type in VALUE_ENDS
-        group = BracketGroup(opening, opening, [], [], False, calls)
+        follows_value = isinstance(previous, BracketGroup) or isinstance(previous, Token) \
+            and previous.type in VALUE_ENDS
+        group = BracketGroup(opening, opening, [], [], False, follows_value)
         element, line = Element(), opening.line
-        loose: list[str] = []  # comments on their own lines; the next token decides which element they belong to
+        # comments on their own lines; the next token decides which element they belong to
+        pending_comments: list[str] = []
         while True:
             token = self.tokens[self.index]
             if token.type in CLOSING:
@@ -180,8 +182,8 @@
                 self.index += 1
                 break
             if token.type not in ("NEWLINE", "COMMENT", "COMMA"):
-                element.comments_above += loose
-                loose = []
+                element.comments_above += pending_comments
+                pending_comments = []
             if token.type in OPENING:
                 element.parts.append(self._read_group(element.parts))
                 line = self.tokens[self.index - 1].line
@@ -194,7 +196,7 @@
                 if token.line == line and owner is not None and not owner.trailing_comment:
                     owner.trailing_comment = _format_comment(token)
                 else:
-                    loose.append(_format_comment(token))
+                    pending_comments.append(_format_comment(token))
             elif token.type == "COMMA":
                 group.elements.append(element)
                 element, group.trailing_comma = Element(), True
@@ -204,7 +206,7 @@
         if element.parts:
             group.elements.append(element)
             group.trailing_comma = False
-        group.comments_below = loose
+        group.comments_below = pending_comments
         return group
 
 
@@ -264,11 +266,11 @@
     while True:
         rows = _format_rows(parts, indent, expanded)
         longest = max(len(rows[0]) + indent, *(len(row) for row in rows)) + tail
-        rest = [group for group in groups if id(group) not in expanded and group.elements]
-        if longest <= MAX_LINE_WIDTH or not rest:
+        candidates = [group for group in groups if id(group) not in expanded and group.elements]
+        if longest <= MAX_LINE_WIDTH or not candidates:
             return rows
         # expand the group with the longest text first: usually the arguments of the call
-        expanded.add(id(max(rest, key=lambda group: len(_format_flat_group(group)))))
+        expanded.add(id(max(candidates, key=lambda group: len(_format_flat_group(group)))))
 
 
 def _format_rows(parts: list[Token | BracketGroup], indent: int, expanded: set[int]) -> list[str]:
--- a/hollystage/language/layout.py
+++ b/hollystage/language/layout.py
@@ -111,7 +111,7 @@
                 elif len(levels) > MAX_BLOCK_DEPTH:
                     if is_valid:
                         self.add_error(following, f"blocks nested deeper than {MAX_BLOCK_DEPTH}",
-                                   "move the inner blocks into a def")
+                                       "move the inner blocks into a def")
                     is_valid = False
                 else:
                     levels.append(column)
@@ -121,14 +121,14 @@
                     self.add_error(output[-1], "missing ':' at the end of a line that starts a block", "add ':'")
                 elif is_valid:
                     self.add_error(following, "indented more than the other lines of its block",
-                               f"start it in column {levels[-1] + 1}")
+                                   f"start it in column {levels[-1] + 1}")
                 is_valid = False
             while column < levels[-1]:
                 levels.pop()
                 output.append(Token("_DEDENT", "", following.line, following.column))
                 if column > levels[-1]:
                     self.add_error(following, "indentation that matches no enclosing block",
-                               f"start it in column {levels[-1] + 1}")
+                                   f"start it in column {levels[-1] + 1}")
                     is_valid = False
                     break
         self._end_line(output)
@@ -173,7 +173,7 @@
                 if len(opened) > MAX_BRACKET_DEPTH:
                     if not too_deep:
                         self.add_error(token, f"brackets nested deeper than {MAX_BRACKET_DEPTH}",
-                                   "assign the inner parts to names")
+                                       "assign the inner parts to names")
                     too_deep, is_valid = True, False
             elif token.type in CLOSING:
                 if not opened:
@@ -182,7 +182,7 @@
                     continue
                 if OPENING[opened[-1].type] != token.type:
                     self.add_error(token, f"'{token}' does not match '{opened[-1]}' in line {opened[-1].line}",
-                               f"write '{self._closing_bracket(opened[-1])}'")
+                                   f"write '{self._closing_bracket(opened[-1])}'")
                     is_valid = False
                 opened.pop()
             elif not self._check_token(token):
@@ -258,7 +258,7 @@
             self.add_error(token, f"'{text}' has a unit that the language does not know", f"write {suggestion}")
         elif text.lstrip("0123456789.") and not text.startswith("0x"):
             self.add_error(token, f"'{text}' has a unit that the language does not know",
-                       "use us, ms, s, min, h, B, KiB, MiB, GiB, /s, /min, /h or %")
+                           "use us, ms, s, min, h, B, KiB, MiB, GiB, /s, /min, /h or %")
         else:
             self.add_error(token, f"'{text}' is not a number", "write decimal digits with at most one point")
 
--- a/hollystage/language/names.py
+++ b/hollystage/language/names.py
@@ -108,7 +108,7 @@
             return
         if top and name in scope.defined:
             self._report(target.position, f"{name} is already defined in line {scope.defined[name].line}",
-                       "choose another name")
+                         "choose another name")
         scope.defined.setdefault(name, target.position)
 
     # Uses
@@ -162,7 +162,7 @@
                 if not scope.use(node.name) and node.name not in self.predefined_names:
                     close = nearest(node.name, [*scope.visible_names(), *self.predefined_names])
                     self._report(node.position, f"{node.name} is not defined",
-                               f"write {close}" if close else "define it, or load it")
+                                 f"write {close}" if close else "define it, or load it")
             case tree.ListLiteral():
                 for item in node.items:
                     self._check_expression(item, scope)
--- a/hollystage/language/sources.py
+++ b/hollystage/language/sources.py
@@ -49,7 +49,7 @@
         real = os.path.realpath(path)
         if os.path.commonpath([real, self.root]) != self.root:
             raise SourceError(f'"{name}" is a symbolic link out of the folder of the plan',
-                          "copy the file into the folder")
+                              "copy the file into the folder")
         try:
             if os.path.isdir(real):
                 raise SourceError(f'"{name}" is a folder', "name a file in it")
@@ -58,7 +58,7 @@
         except FileNotFoundError:
             close = nearest(name, self._file_names())
             raise SourceError(f'"{name}" does not exist', f'write "{close}"' if close
-                          else "create it, or remove the load()") from None
+                              else "create it, or remove the load()") from None
         except OSError as error:
             raise SourceError(f'"{name}" cannot be read: {error.strerror}', "check its permissions") from error
 
@@ -82,7 +82,7 @@
         if name not in self.files:
             close = nearest(name, self.files)
             raise SourceError(f'"{name}" does not exist', f'write "{close}"' if close
-                          else "create it, or remove the load()")
+                              else "create it, or remove the load()")
         return self.files[name]
 
 
@@ -98,7 +98,7 @@
         line = data.count(b"\n", 0, error.start) + 1
         column = error.start - (data.rfind(b"\n", 0, error.start) + 1) + 1
         diagnostics.add(Location(name, line, column), f"the byte 0x{data[error.start]:02x} is not UTF-8",
-                   "save the file as UTF-8")
+                        "save the file as UTF-8")
         return None
     return text.removeprefix("\ufeff")
 
--- a/hollystage/language/syntax.py
+++ b/hollystage/language/syntax.py
@@ -20,9 +20,10 @@
 MAX_STATEMENT_TOKENS, MAX_PARSED_TOKENS = 20_000, 100_000
 
 ESCAPES = {"n": "\n", "t": "\t", "\\": "\\", '"': '"', "'": "'"}
-TOKEN_DESCRIPTIONS = {"RPAR": "')'", "RSQB": "']'", "RBRACE": "'}'", "COMMA": "','", "COLON": "':'", "EQUAL": "'='",
-            "_NEWLINE": "the end of the line", "IN": "'in'", "NAME": "a name", "LPAR": "'('", "ELSE": "'else'",
-            "_INDENT": "an indented block", "RETURN": "a statement"}
+TOKEN_DESCRIPTIONS = {
+    "RPAR": "')'", "RSQB": "']'", "RBRACE": "'}'", "COMMA": "','", "COLON": "':'", "EQUAL": "'='",
+    "_NEWLINE": "the end of the line", "IN": "'in'", "NAME": "a name", "LPAR": "'('", "ELSE": "'else'",
+    "_INDENT": "an indented block", "RETURN": "a statement"}
 
 
 class _ParseError(Exception):
@@ -161,7 +162,7 @@
         node = parts[0]
         if len(parts) > 20:
             raise _ParseError(node.position, "more than 20 calls, indexes and attributes in a row",
-                          "assign the intermediate values to names")
+                              "assign the intermediate values to names")
         for wrap in parts[1:]:
             node = wrap(node)
         return node
--- a/hollystage/language/tokens.py
+++ b/hollystage/language/tokens.py
@@ -50,19 +50,19 @@
 @cache
 def _scanner() -> tuple[re.Pattern[str], dict[str, str]]:
     """A regular expression that matches any token, and the terminals of keywords and operators by their text."""
-    words: dict[str, str] = {}
-    signs: list[str] = []
-    forms: list[tuple[int, str]] = []
+    fixed_terminals: dict[str, str] = {}
+    operators: list[str] = []
+    patterns: list[tuple[int, str]] = []
     for terminal in grammar().terminals:
         if isinstance(terminal.pattern, PatternStr):
-            words[terminal.pattern.value] = terminal.name
+            fixed_terminals[terminal.pattern.value] = terminal.name
             if not terminal.pattern.value.isalpha():
-                signs.append(re.escape(terminal.pattern.value))
+                operators.append(re.escape(terminal.pattern.value))
         elif terminal.name != "SPACE":
-            forms.append((-terminal.priority, f"(?P<{terminal.name}>{terminal.pattern.to_regexp()})"))
-    signs.sort(key=len, reverse=True)
-    forms.append((0, f"(?P<WORD>{'|'.join(signs)})"))
-    return re.compile(f"[ \t]*(?:{'|'.join(form for _, form in sorted(forms))})"), words
+            patterns.append((-terminal.priority, f"(?P<{terminal.name}>{terminal.pattern.to_regexp()})"))
+    operators.sort(key=len, reverse=True)
+    patterns.append((0, f"(?P<WORD>{'|'.join(operators)})"))
+    return re.compile(f"[ \t]*(?:{'|'.join(pattern for _, pattern in sorted(patterns))})"), fixed_terminals
 
 
 def tokenize(text: str) -> list[Token]:
@@ -71,15 +71,15 @@
     >>> [(token.type, token.text) for token in tokenize("a = 830ms # x")]
     [('NAME', 'a'), ('EQUAL', '='), ('QUANTITY', '830ms'), ('COMMENT', '# x')]
     """
-    found: list[Token] = []
-    add, (pattern, words) = found.append, _scanner()
+    result: list[Token] = []
+    add, (pattern, fixed_terminals) = result.append, _scanner()
     line, before = 1, -1  # `before`: index of the character before the current line; column = index - before
     for match in pattern.finditer(text):
         kind = match.lastgroup or ""
-        word = match[kind]
+        value = match[kind]
         if kind == "NAME" or kind == "WORD":
-            kind = words.get(word, kind)
-        add(Token(kind, word, line, match.start(match.lastgroup or 0) - before))
+            kind = fixed_terminals.get(value, kind)
+        add(Token(kind, value, line, match.start(match.lastgroup or 0) - before))
         if kind == "NEWLINE":
-            line, before = line + word.count("\n"), match.end() - len(word) + word.rindex("\n")
-    return found
+            line, before = line + value.count("\n"), match.end() - len(value) + value.rindex("\n")
+    return result
--- a/hollystage/language/units.py
+++ b/hollystage/language/units.py
@@ -15,7 +15,7 @@
 
 
 class Dimension(Enum):
-    """What an amount measures; a plain number has the dimension NUMBER."""
+    """The kind of an amount; a number without a unit has the dimension NUMBER."""
 
     NUMBER = "number"
     TIME = "time"
@@ -172,18 +172,18 @@
 
 
 def _complexity(text: str) -> tuple[bool, int, bool]:
-    """Sort key of a literal: no leading zero before short before whole."""
+    """Sort key of a literal: prefers no leading zero, then few digits, then whole numbers."""
     number, = re.findall(r"^-?[0-9.]+", text)
     return number.startswith("0.") or number.startswith("-0."), len(number), "." in number
 
 
 def _exact_decimal(value: Fraction) -> str | None:
     """The value as an exact decimal number, or None if that needs more than 12 places."""
-    rest = value.denominator
+    cofactor = value.denominator
     for prime in (2, 5):
-        while rest % prime == 0:
-            rest //= prime
-    if rest != 1:
+        while cofactor % prime == 0:
+            cofactor //= prime
+    if cofactor != 1:
         return None
     places = 0
     while (value * 10 ** places).denominator != 1:
@@ -247,8 +247,8 @@
     """
     left_dimension, right_dimension = dimension_of(left), dimension_of(right)
     if left_dimension is None or right_dimension is None:
-        raise QuantityError(f"{operator} is not defined for {describe(left)} and {describe(right)}",
-                       "use numbers, quantities, or two values of one type")
+        raise QuantityError(f"{describe(left)} {operator} {describe(right)} is not defined",
+                            "use numbers, quantities, or two values of one type")
     a, b = amount_of(left), amount_of(right)
     if operator in ("/", "//", "%") and b == 0:
         raise QuantityError("a division by zero", "use a divisor other than 0")
@@ -274,7 +274,7 @@
         return make_amount(Fraction(a // b), NUMBER) if operator == "//" \
             else make_amount(a - b * (a // b), left_dimension)
     raise QuantityError(f"the result of {describe(left)} {operator} {describe(right)} has no valid unit",
-                   "check both operands")
+                        "check both operands")
 
 
 def _mixed_units_error(operator: str, left: Any, right: Any) -> QuantityError:
@@ -283,6 +283,6 @@
         if dimension_of(number_without_unit) is NUMBER:
             suggestion = suggest_quantity(number_without_unit, quantity.dimension)
             return QuantityError(f"{describe(left)} {operator} {describe(right)} mixes units",
-                            f"write {suggestion} for {format_amount(number_without_unit)}")
+                                 f"write {suggestion} for {format_amount(number_without_unit)}")
     return QuantityError(f"{describe(left)} {operator} {describe(right)} mixes units",
                          "use quantities of the same kind")
