--- a/hollystage/language/names.py
+++ b/hollystage/language/names.py
@@ -108,7 +108,7 @@
             return
         if top and name in scope.defined:
             self._report(target.position, f"{name} is already defined in line {scope.defined[name].line}",
-                       "choose another name")
+                         "choose another name")
         scope.defined.setdefault(name, target.position)
 
     # Uses
@@ -121,7 +121,8 @@
                 self._check_expression(node.target, scope)
                 self._check_expression(node.value, scope)
                 if scope is self.file_scope:
-                    self._report(node.position, "+= outside a def", f"write NAME = {node.target.name} + ... with a new name")
+                    self._report(node.position, "+= outside a def",
+                                 f"write NAME = {node.target.name} + ... with a new name")
             case tree.Return():
                 if node.value is not None:
                     self._check_expression(node.value, scope)
@@ -161,7 +162,7 @@
                 if not scope.use(node.name) and node.name not in self.predefined_names:
                     close = nearest(node.name, [*scope.visible_names(), *self.predefined_names])
                     self._report(node.position, f"{node.name} is not defined",
-                               f"write {close}" if close else "define it, or load it")
+                                 f"write {close}" if close else "define it, or load it")
             case tree.ListLiteral():
                 for item in node.items:
                     self._check_expression(item, scope)
--- a/hollystage/language/sources.py
+++ b/hollystage/language/sources.py
@@ -6,7 +6,8 @@
 
 from .diagnostics import Diagnostics, Location, nearest
 
-MAX_SOURCE_BYTES, MAX_TOTAL_BYTES, MAX_FILES = 1 << 20, 8 << 20, 64  # bytes of one file; bytes and number of all files of one run
+# bytes of one file; bytes and number of all files of one run
+MAX_SOURCE_BYTES, MAX_TOTAL_BYTES, MAX_FILES = 1 << 20, 8 << 20, 64
 
 
 class SourceError(ValueError):
@@ -48,7 +49,7 @@
         real = os.path.realpath(path)
         if os.path.commonpath([real, self.root]) != self.root:
             raise SourceError(f'"{name}" is a symbolic link out of the folder of the plan',
-                          "copy the file into the folder")
+                              "copy the file into the folder")
         try:
             if os.path.isdir(real):
                 raise SourceError(f'"{name}" is a folder', "name a file in it")
@@ -57,7 +58,7 @@
         except FileNotFoundError:
             close = nearest(name, self._file_names())
             raise SourceError(f'"{name}" does not exist', f'write "{close}"' if close
-                          else "create it, or remove the load()") from None
+                              else "create it, or remove the load()") from None
         except OSError as error:
             raise SourceError(f'"{name}" cannot be read: {error.strerror}', "check its permissions") from error
 
@@ -81,7 +82,7 @@
         if name not in self.files:
             close = nearest(name, self.files)
             raise SourceError(f'"{name}" does not exist', f'write "{close}"' if close
-                          else "create it, or remove the load()")
+                              else "create it, or remove the load()")
         return self.files[name]
 
 
@@ -97,7 +98,7 @@
         line = data.count(b"\n", 0, error.start) + 1
         column = error.start - (data.rfind(b"\n", 0, error.start) + 1) + 1
         diagnostics.add(Location(name, line, column), f"the byte 0x{data[error.start]:02x} is not UTF-8",
-                   "save the file as UTF-8")
+                        "save the file as UTF-8")
         return None
     return text.removeprefix("\ufeff")
 
@@ -112,7 +113,7 @@
     'shared/units.star'
     >>> resolve_path("../units.star", "a.star")
     Traceback (most recent call last):
-    hollystage.language.sources.Refused: "../units.star" leads out of the folder of the plan
+    hollystage.language.sources.SourceError: "../units.star" leads out of the folder of the plan
     """
     if not path or "\0" in path or "\\" in path:
         raise SourceError(f'"{path}" is not a valid file name', 'write load("file.star", "NAME")')
