--- a/benchmarks/budget_simulation.py
+++ b/benchmarks/budget_simulation.py
@@ -31,9 +31,9 @@
         self.offset = simulation.rng.randrange(1 << 40)
         simulation.births += 1
         self.process_id = ProcessId(name, simulation.births)
-        self.participant = participant_class(self.process_id, budgets, GRANT_PARAMETERS, simulation.period, simulation.voter_set,
-                                        LEASE_PARAMETERS, simulation.rng.getrandbits(30), self.clock(),
-                                        1_000 * simulation.births)
+        self.participant = participant_class(self.process_id, budgets, GRANT_PARAMETERS, simulation.period,
+                                             simulation.voter_set, LEASE_PARAMETERS, simulation.rng.getrandbits(30),
+                                             self.clock(), 1_000 * simulation.births)
         self.limit_steps = {budget.name: ((FOREVER, 0),) for budget in budgets}
         self.in_use = dict.fromkeys(self.limit_steps, 0)
         self.weight = 1.0
@@ -65,7 +65,8 @@
         """Reports the limit that applies now, the units in use and those waited for to the participant."""
         for name in self.limit_steps:
             waiting = max(0, int(self.need) - self.in_use[name])
-            self.participant.claimant.report_usage(name, Usage(units_at(self.limit_steps[name], now), self.in_use[name], waiting, self.weight))
+            self.participant.claimant.report_usage(name, Usage(
+                units_at(self.limit_steps[name], now), self.in_use[name], waiting, self.weight))
 
     def start_uses(self):
         """Starts uses while the need and the limits allow."""
@@ -100,8 +101,8 @@
         use_durations: bounds of the duration of a use, microseconds
     """
 
-    def __init__(self, seed, size, budgets, voters=3, loss=0.0, participant_class=Participant, drift=0.01, period=200_000,
-                 use_durations=(30_000, 300_000)):
+    def __init__(self, seed, size, budgets, voters=3, loss=0.0, participant_class=Participant, drift=0.01,
+                 period=200_000, use_durations=(30_000, 300_000)):
         self.rng, self.loss, self.drift, self.period = random.Random(seed), loss, drift, period
         self.budgets, self.participant_class, self.use_durations = budgets, participant_class, use_durations
         self.now = self.event_count = self.births = 0
@@ -149,7 +150,7 @@
         """Starts a use of one unit of a budget, which ends after a random time."""
         self.change_in_use(name, 1)
         budget = next(budget for budget in self.budgets if budget.name == name)
-        duration = min(budget.use, self.rng.randint(*self.use_durations))
+        duration = min(budget.max_use_duration, self.rng.randint(*self.use_durations))
 
         def end():
             self.change_in_use(name, -1)
@@ -179,8 +180,8 @@
             for _ in range(1 + (self.rng.random() < self.loss / 3)):
                 late = self.loss and self.rng.random() < self.loss / 2
                 delay = self.rng.randrange(200_000, 3_000_000) if late else self.rng.randrange(200, 3_000)
-                self.call_at(self.now + delay, lambda to=message.recipient, body=message.payload, sender=process.process_id:
-                        self.processes[to].receive(sender, body))
+                self.call_at(self.now + delay, lambda recipient=message.recipient, body=message.payload,
+                             sender=process.process_id: self.processes[recipient].receive(sender, body))
 
     def partition(self, group):
         """Cuts all links between these processes and the others."""
--- a/benchmarks/budgets.py
+++ b/benchmarks/budgets.py
@@ -81,8 +81,9 @@
 def sizes() -> None:
     """Measures message rate, time of a reallocation and CPU use for several sizes of the fleet."""
     for size in (10, 100, 1_000, 3_000):
-        whole = 4 * size
-        world = BudgetSimulation(5, size, [call_budget(total=whole, max_processes=size, max_use_duration=300_000)], voters=5)
+        total = 4 * size
+        world = BudgetSimulation(5, size, [call_budget(total=total, max_processes=size, max_use_duration=300_000)],
+                                 voters=5)
         started_at = time.monotonic()
         for name in world.names:
             world.processes[name].need = 3
--- a/benchmarks/call_sum.py
+++ b/benchmarks/call_sum.py
@@ -20,7 +20,8 @@
         for share in SHARES:
             steady = [UncoordinatedFleet(processes, share, seed).run(9) for seed in range(seeds)]
             slow = [UncoordinatedFleet(processes, share, seed, slow_from=4).run(10) for seed in range(seeds)]
-            means, slow_means = [fleet.max_windowed_mean() for fleet in steady], [fleet.max_windowed_mean() for fleet in slow]
+            means, slow_means = ([fleet.max_windowed_mean() for fleet in steady],
+                                 [fleet.max_windowed_mean() for fleet in slow])
             tolerated = steady[0].tolerated_total
             exceeded = sum(mean > tolerated for mean in means + slow_means)
             print(f"| {processes} | {share} | {steady[0].total_limit:.1f} | {tolerated:.1f} "
--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -34,7 +34,12 @@
 sys.path.insert(0, ROOT)
 
 from hollystage.standins.fleet.faults import Fault, Schedule  # noqa: E402
-from hollystage.standins.fleet.schedules import RECOVERY_LOAD, RECOVERY_SCENES, recovery_scene, scene_schedule  # noqa: E402
+from hollystage.standins.fleet.schedules import (  # noqa: E402
+    RECOVERY_LOAD,
+    RECOVERY_SCENES,
+    recovery_scene,
+    scene_schedule,
+)
 from hollystage.standins.fleet.service_simulation import (  # noqa: E402
     Instance,
     RecoveryPolicy,
@@ -72,7 +77,8 @@
         """Sets the limit that belongs to this time."""
         if self.instance.settings.cold:
             share = min(1.0, 0.05 + (now - self.instance.started_at) / self.duration)
-            self.instance.control.call_limit.set_bounds(min(self.min_limit, self.max_limit * share), self.max_limit * share)
+            self.instance.control.call_limit.set_bounds(min(self.min_limit, self.max_limit * share),
+                                                        self.max_limit * share)
 
 
 POLICIES: dict[str, Any] = {"today": None, "ours": RecoveryPolicy,
@@ -112,7 +118,8 @@
     case, policy, count, seed, load = job
     names = [f"m{n}" for n in range(count)]
     faults, changes, kills = case_faults(case, names)
-    simulation = ServiceSimulation(count, seed, SimulationParameters(load=load, **changes), POLICIES[policy], promises=policy == "ours")
+    simulation = ServiceSimulation(count, seed, SimulationParameters(load=load, **changes), POLICIES[policy],
+                                   promises=policy == "ours")
     simulation.run(7 + BASELINE_S)
     start = simulation.now_s
     base = simulation.worth(start - BASELINE_S, start)
@@ -127,13 +134,16 @@
     ideal = sum(1 - upper_bound(simulation, kills, s + 0.5) for s in range(MEASURED_S))
     return {"shares": shares, "full": full, "bound": limit, "ideal": ideal,
             "area": sum(1 - share for share in shares[:MEASURED_S]),
-            "again": down, "peak": simulation.ledger.stats.max_in_service / (simulation.ledger_parameters.slots * simulation.ledger_parameters.crowd),
+            "again": down,
+            "peak": simulation.ledger.stats.max_in_service / (
+                simulation.ledger_parameters.slots * simulation.ledger_parameters.crowd),
             "deaths": simulation.ledger.stats.deaths,
-            "calls": (simulation.ledger.stats.calls - calls) / max(1, 0.66 * (sum(simulation.rpcs_by_second.values()) - rpcs)),
+            "calls": (simulation.ledger.stats.calls - calls) / max(
+                1, 0.66 * (sum(simulation.rpcs_by_second.values()) - rpcs)),
             "twice": simulation.counts["twice"],
             "tries": sum(simulation.attempts_by_second.values()) / max(1, sum(simulation.rpcs_by_second.values())),
-            "kept": (sum(ok for _, ok in simulation.promised_results) / len(simulation.promised_results)) if simulation.promised_results
-            else math.nan}
+            "kept": (sum(ok for _, ok in simulation.promised_results) / len(simulation.promised_results))
+            if simulation.promised_results else math.nan}
 
 
 TABLE_HEADER = ("| case | policy | full service, s | lost service, s | peak load of the ledger | calls per RPC "
--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -30,8 +30,8 @@
 DRIFT = 0.25
 SLOW_CLOCK, FAST_CLOCK = 3, 5  # thousands per step
 # attributes that do not distinguish states
-UNSEEN = {"_frozen", "counts", "chance", "next_at", "silent", "answered_at", "began",
-          "first_after", "gained", "lost", "refused"}
+UNSEEN = {"_frozen", "counts", "rng", "next_at", "unanswered", "answered_at", "began",
+          "first_grant_delay", "gained", "lost", "refused"}
 purses.MIN_DIVISION_INTERVAL_US = 0  # a step is shorter than the interval between two divisions
 
 
@@ -237,7 +237,8 @@
 
     def violation(self, state):
         """Returns a message if two candidates hold the lease or a ballot has been used by two; None otherwise."""
-        acting = [name for name, candidate in state.candidates.items() if candidate.holds_lease(self.clock(state, name))]
+        acting = [name for name, candidate in state.candidates.items()
+                  if candidate.holds_lease(self.clock(state, name))]
         if len(acting) > 1:
             return f"{' and '.join(acting)} hold the lease at the same time"
         for name in acting:
@@ -314,7 +315,8 @@
                         queue.append((sender, to, handle(body, now)))
                     else:
                         now = self.clock(state, to)
-                        queue += [(voter, to, body) for voter, body in state.candidates[to].receive(sender, body, now)]
+                        queue += [(voter, to, body)
+                                  for voter, body in state.candidates[to].receive(sender, body, now)]
             if any(candidate.holds_lease(self.clock(state, name)) for name, candidate in state.candidates.items()):
                 return True
         return False
@@ -405,8 +407,10 @@
             new = state.copy()
             new.step += 1
             for name in self.names:
-                new.uses[name] = tuple(row for row in new.uses[name] if (new.step - row[0]) * STEP < self.budget.max_use_duration)
-            new.lingering = [row for row in new.lingering if (new.step - row[0]) * STEP < self.budget.max_use_duration]
+                new.uses[name] = tuple(row for row in new.uses[name]
+                                       if (new.step - row[0]) * STEP < self.budget.max_use_duration)
+            new.lingering = [row for row in new.lingering
+                             if (new.step - row[0]) * STEP < self.budget.max_use_duration]
             yield "time passes", new
         yield from self.delayed_deliveries(state, self.deliver)
         new = state.copy()
@@ -465,4 +469,5 @@
 
 def rates(names):
     """Returns all combinations of slow and fast clocks for these processes."""
-    return [dict(zip(names, row, strict=True)) for row in itertools.product((SLOW_CLOCK, FAST_CLOCK), repeat=len(names))]
+    return [dict(zip(names, row, strict=True))
+            for row in itertools.product((SLOW_CLOCK, FAST_CLOCK), repeat=len(names))]
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -145,7 +145,8 @@
     rates of healthy members suspected, of healthy members held for lost and of paused members held for lost.
     """
     count, seed, detects_stalls, seconds = job
-    fleet = FleetSimulation(count, seed, converged=True, members_class=Members if detects_stalls else MembersWithoutStallDetection)
+    fleet = FleetSimulation(count, seed, converged=True,
+                            members_class=Members if detects_stalls else MembersWithoutStallDetection)
     rng = random.Random(seed)
 
     def pause(node: Node) -> None:
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -50,7 +50,8 @@
     instance = scene.run()
     worth = instance.worth_by_second(END_S)
     worst = min(sum(worth[at:at + WINDOW_S]) / WINDOW_S for at in range(START_S, END_S - WINDOW_S))
-    served = sum(instance.results_by_second[at].served["hold"] for at in range(15, 33) if at in instance.results_by_second)
+    served = sum(instance.results_by_second[at].served["hold"] for at in range(15, 33)
+                 if at in instance.results_by_second)
     sent = 34 * 1.2 * 18
     return sum(worth[START_S:]) / (END_S - START_S), worst, served / sent, scene.ledger.stats.max_in_service
 
@@ -134,10 +135,13 @@
         for load in (1, 2, 4, 8):
             values = []
             for seed in range(1, seeds + 1):
-                view = Demand(idempotent_method(skip_share=0.0, latency_target=500_000, deadline=2_000_000), "view", 5, 8_000)
-                scene = SceneSimulation("slow", seed, seconds=40, demands=[*default_demands(load), view], pooling=pooling)
+                view = Demand(idempotent_method(skip_share=0.0, latency_target=500_000, deadline=2_000_000), "view",
+                              5, 8_000)
+                scene = SceneSimulation("slow", seed, seconds=40, demands=[*default_demands(load), view],
+                                        pooling=pooling)
                 instance = scene.run()
-                served = sum(second.served["view"] for at, second in instance.results_by_second.items() if 5 <= at < 39)
+                served = sum(second.served["view"] for at, second in instance.results_by_second.items()
+                             if 5 <= at < 39)
                 values.append(served / max(1, instance.rpcs_by_method["view"] * 34 / 40))
             mean, half = mean_and_interval(values)
             shares.append(f"{load}x {mean:.1%} ± {half:.1%}")
@@ -150,14 +154,16 @@
         results = []
         for count in (0, 4, 64):
             methods = max(2, min(count, 64))
-            demands = [Demand(keyed_method() if n % 3 == 2 else idempotent_method(), f"m{n}", 120 / methods, 50_000, makes_calls=n % 3 < 2)
+            demands = [Demand(keyed_method() if n % 3 == 2 else idempotent_method(), f"m{n}", 120 / methods, 50_000,
+                              makes_calls=n % 3 < 2)
                        for n in range(methods)]
             pooling = PoolConfig(tuple(Pool(f"p{n}", 0.9 / count) for n in range(count)), tuple(range(count)),
                               Reserve(0.05)) if count else None
             scene = SceneSimulation("slow", 1, seconds=40, demands=demands, pooling=pooling)
             started_at = time.process_time()
             instance = scene.run()
-            results.append(f"{count} pools {(time.process_time() - started_at) * 1e6 / instance.attempt_count:.0f} us "
+            results.append(f"{count} pools "
+                           f"{(time.process_time() - started_at) * 1e6 / instance.attempt_count:.0f} us "
                            f"({methods} methods)")
         print(f"run {repetition + 1}: " + ", ".join(results))
 
@@ -181,8 +187,8 @@
             samples.append(len(ledger.in_service))
             clock.call_at(clock.now + SECOND // 4, lambda: sample(ledger, clock, samples))
         sample()
-        clock.call_at(START_US + 8 * SECOND, lambda ledger=ledger: ledger.slow(8))
-        clock.call_at(START_US + 16 * SECOND, lambda ledger=ledger: ledger.slow(1))
+        clock.call_at(START_US + 8 * SECOND, lambda ledger=ledger: ledger.set_slowdown(8))
+        clock.call_at(START_US + 16 * SECOND, lambda ledger=ledger: ledger.set_slowdown(1))
         started_at = time.process_time()
         clock.run(START_US + 26 * SECOND)
         worth = [sum(instance.worth_by_second(26)[at] for instance in simulated_instances) for at in range(26)]
--- a/hollystage/standins/call_sum.py
+++ b/hollystage/standins/call_sum.py
@@ -10,7 +10,7 @@
 
 SAMPLE_INTERVAL_US = 50_000  # between two samples of the calls in progress
 RPC_RATE, MEAN_CALL_US = 20.0, 150_000  # RPCs per second at each process
-MEAN_WORK_US, LINGER_US = 8_000, 200_000  # mean time on the cores of an RPC; time for which an abandoned call stays in progress
+MEAN_WORK_US, LINGER_US = 8_000, 200_000  # time of an RPC on the cores; time for which an abandoned call continues
 
 
 class SampledLedger(LedgerModel):
@@ -51,8 +51,10 @@
         self.ledger = SampledLedger(self.clock, seed)
         method = idempotent_method(latency_target=SECOND, deadline=4 * SECOND)
         settings = make_settings([method], cores=4, memory=1e9, calls_out=share, linger=LINGER_US)
-        self.instances = [SimulatedInstance(self.clock, settings, [Demand(method, "lookup", RPC_RATE, MEAN_WORK_US, makes_calls=True, max_retries=0)],
-                          self.ledger, seed * 1000 + number) for number in range(processes)]
+        self.instances = [
+            SimulatedInstance(self.clock, settings, [
+                Demand(method, "lookup", RPC_RATE, MEAN_WORK_US, makes_calls=True, max_retries=0)],
+                self.ledger, seed * 1000 + number) for number in range(processes)]
         if slow_from:
             self.clock.call_at(START_US + int(slow_from * SECOND), lambda: self.ledger.set_slowdown(10))
 
--- a/hollystage/standins/caller.py
+++ b/hollystage/standins/caller.py
@@ -110,8 +110,10 @@
             try:
                 if caller is None:
                     caller = Caller(self.address)
-                response = caller.request(traffic.method, key.encode(), Idempotency_Key=key if traffic.keyed else None,
-                                      X_Caller=str(seed % 10 ** 9), X_Timeout_Ms=str(int(traffic.deadline_s * 1000)))
+                response = caller.request(traffic.method, key.encode(),
+                                          Idempotency_Key=key if traffic.keyed else None,
+                                          X_Caller=str(seed % 10 ** 9),
+                                          X_Timeout_Ms=str(int(traffic.deadline_s * 1000)))
                 outcome = {200: "ok", 503: "pushed back", 500: "aborted"}.get(response.status,
                                                                               f"status {response.status}")
                 if outcome == "ok" and response.body != b"ran " + key.encode():
--- a/hollystage/standins/interpreter.py
+++ b/hollystage/standins/interpreter.py
@@ -109,10 +109,12 @@
     `run_counts` counts runs by RPC body, so that duplicate runs can be detected. `slowdown` multiplies run times.
     """
 
-    def __init__(self, cores: int, work_s: Mapping[str, float], calling_methods: frozenset[str] = frozenset(), seed: int = 1,
-                 address: Address | None = None, cold_speed: float = 1.0, warm_up_s: float = 0.0) -> None:
+    def __init__(self, cores: int, work_s: Mapping[str, float], calling_methods: frozenset[str] = frozenset(),
+                 seed: int = 1, address: Address | None = None, cold_speed: float = 1.0,
+                 warm_up_s: float = 0.0) -> None:
         self.cores, self.work_s, self.calling_methods = cores, work_s, calling_methods
-        self.cold_speed, self.warm_up_s, self.slowdown, self.started_at = cold_speed, warm_up_s, 1.0, time.monotonic() - warm_up_s
+        self.cold_speed, self.warm_up_s, self.slowdown, self.started_at = (
+            cold_speed, warm_up_s, 1.0, time.monotonic() - warm_up_s)
         self.rng = random.Random(seed)
         self.run_queue: SimpleQueue[dict[str, Any] | None] = SimpleQueue()
         self.active_runs: dict[str, dict[str, Any]] = {}  # by request id
@@ -154,8 +156,8 @@
                 duration = self.work_s.get(command["method"], 0.01) * self.rng.lognormvariate(-0.125, 0.5)
                 parts = 2 if command["method"] in self.calling_methods else 1
                 run = self.active_runs[request_id] = {"ident": request_id, "body": body, "left": parts,
-                                               "span": duration / parts, "begun": time.monotonic(),
-                                               "stopped": False}
+                                                      "span": duration / parts, "begun": time.monotonic(),
+                                                      "stopped": False}
                 self.run_queue.put(run)
             case "BREAK" if run is not None:
                 run["stopped"] = True
@@ -164,7 +166,8 @@
             case "RESOLVE" | "STUB" if run is not None and run.pop("waits", False):
                 self.run_queue.put(run)
             case "TOP":
-                self.load = [min(1.0, self.busy_threads / self.cores), float(self.busy_threads + self.run_queue.qsize())]
+                self.load = [min(1.0, self.busy_threads / self.cores),
+                             float(self.busy_threads + self.run_queue.qsize())]
 
     def _run_worker(self) -> None:
         while (run := self.run_queue.get()) is not None:
--- a/hollystage/standins/ledger.py
+++ b/hollystage/standins/ledger.py
@@ -77,7 +77,8 @@
             stats.refused += 1
             callback(Outcome.CONNECT_FAILED)
             return number
-        if self.parameters.refuses_when_full and len(self.in_service) >= self.parameters.slots * self.parameters.crowd:
+        if self.parameters.refuses_when_full and (
+                len(self.in_service) >= self.parameters.slots * self.parameters.crowd):
             stats.refused += 1
             callback(Outcome.FULL)
             return number
--- a/hollystage/standins/scenes.py
+++ b/hollystage/standins/scenes.py
@@ -10,7 +10,7 @@
 from .simulated_instance import SECOND, Demand, SimulatedInstance, idempotent_method, keyed_method
 
 START_US = 10 * SECOND
-FAULT_START_S, FAULT_DURATION_S = 15, 18  # seconds
+FAULT_START_S, FAULT_DURATION_S = 15, 18
 
 
 def make_settings(methods: list[Method], **changes: Any) -> Settings:
@@ -30,13 +30,15 @@
         changes: fields of Settings that differ from the default
     """
 
-    def __init__(self, scene: str, seed: int, load: float = 1.2, seconds: int = 55, parameters: LedgerParameters | None = None,
-                 demands: list[Demand] | None = None, **changes: Any) -> None:
+    def __init__(self, scene: str, seed: int, load: float = 1.2, seconds: int = 55,
+                 parameters: LedgerParameters | None = None, demands: list[Demand] | None = None,
+                 **changes: Any) -> None:
         self.clock, self.seconds = VirtualClock(START_US), seconds
         self.ledger = LedgerModel(self.clock, parameters or LedgerParameters(), seed)
         self.demands = demands or default_demands(load)
         methods = [demand.method for demand in self.demands]
-        self.instance = SimulatedInstance(self.clock, make_settings(methods, **changes), self.demands, self.ledger, seed)
+        self.instance = SimulatedInstance(self.clock, make_settings(methods, **changes), self.demands, self.ledger,
+                                          seed)
         SCENES[scene](self)
 
     def call_at(self, second: float, function: Callable[[], None]) -> None:
@@ -51,7 +53,8 @@
 
 def default_demands(load: float) -> list[Demand]:
     """Returns two lookups with a downstream call per hold without one. At load 1 they use all of six cores."""
-    return [Demand(idempotent_method(), "lookup", 66 * load, 70_000, makes_calls=True), Demand(keyed_method(), "hold", 34 * load, 40_000)]
+    return [Demand(idempotent_method(), "lookup", 66 * load, 70_000, makes_calls=True),
+            Demand(keyed_method(), "hold", 34 * load, 40_000)]
 
 
 def _slow(scene: SceneSimulation) -> None:
--- a/hollystage/standins/simulated_instance.py
+++ b/hollystage/standins/simulated_instance.py
@@ -16,7 +16,7 @@
 from .processor_sharing import ProcessorSharing, VirtualClock
 
 SECOND = 1_000_000
-# names of actions in the recorded traces
+# names by which the recorded traces know these actions
 TRACE_NAMES = {ActionKind.REJECT: "PUSH_BACK", ActionKind.LOAD_SIGNAL: "SAY", ActionKind.IDLE_LIMIT: "IDLE"}
 
 
@@ -27,9 +27,9 @@
     method: Method
     name: str
     rate: float  # per second
-    mean_work: int  # mean time on the cores, microseconds
-    makes_calls: bool = False  # whether a run makes a downstream call half way
-    work_sigma: float = 0.6  # sigma of the lognormal work
+    mean_work: int  # time on the cores, microseconds
+    makes_calls: bool = False  # a run makes a downstream call half way
+    work_sigma: float = 0.6  # of the lognormal work
     max_retries: int = 1
     rate_factor: Callable[[int], float] = lambda _: 1.0  # of `rate`, by the time since the start
 
@@ -40,12 +40,12 @@
 
     demand: Demand
     rpc: Rpc
-    rpc_started_at: int  # when the first attempt of the RPC was sent
+    rpc_started_at: int  # time at which the first attempt was sent
     number: int
     earlier_attempts: int
     run_started_at: int = 0
     remaining_work: float = 0.0  # work after the downstream call
-    call_number: int = 0  # number of the call in progress, 0 for none
+    call_number: int = 0  # of the call in progress, 0 for none
     call_started_at: int = 0
     has_called: bool = False
     skipped: bool = False
@@ -67,8 +67,8 @@
 class SimulatedInstance:
     """A simulated instance. Several instances and a ledger may share the clock."""
 
-    def __init__(self, clock: VirtualClock, settings: Settings, demands: list[Demand], ledger: LedgerModel, seed: int = 1,
-                 overload_penalty: float = 0.05) -> None:
+    def __init__(self, clock: VirtualClock, settings: Settings, demands: list[Demand], ledger: LedgerModel,
+                 seed: int = 1, overload_penalty: float = 0.05) -> None:
         self.clock, self.settings, self.demands, self.ledger = clock, settings, demands, ledger
         self.rng = random.Random(seed)
         self.origin = clock.now
@@ -123,8 +123,9 @@
         for action in self.control.decide(self.clock.now):
             attempt = self.attempts.get(action.rpc) if action.rpc is not None else None
             number = attempt.number if attempt else 0
-            self.trace_hash.update(f"{self.clock.now} {TRACE_NAMES.get(action.kind, action.kind.name)} {number} {action.duration} {action.flag} "
-                              f"{action.value:.6f}\n".encode())
+            self.trace_hash.update(
+                f"{self.clock.now} {TRACE_NAMES.get(action.kind, action.kind.name)} {number} {action.duration} "
+                f"{action.flag} {action.value:.6f}\n".encode())
             if action.kind is ActionKind.TIMER:
                 self.clock.call_at(self.clock.now + action.duration, self._tick)
             elif attempt is not None:
@@ -153,12 +154,13 @@
 
                 def on_outcome(outcome: Outcome) -> None:
                     # the ledger may reply before `call` has returned the number of the call
-                    self.clock.call_at(self.clock.now,
-                                  lambda: self._end_call(attempt, outcome, attempt.call_number if returned[0] else pending))
+                    self.clock.call_at(self.clock.now, lambda: self._end_call(
+                        attempt, outcome, attempt.call_number if returned[0] else pending))
                 attempt.call_number = self.ledger.call(attempt.demand.name, on_outcome)
                 returned[0] = True
                 number = attempt.call_number
-                self.clock.call_at(self.clock.now + action.duration, lambda: self._end_call(attempt, Outcome.TIMEOUT, number))
+                self.clock.call_at(self.clock.now + action.duration,
+                                   lambda: self._end_call(attempt, Outcome.TIMEOUT, number))
             case ActionKind.SKIP:
                 attempt.skipped, attempt.call_number = True, 0
                 self._add_work(attempt, attempt.remaining_work)
@@ -176,8 +178,10 @@
                 self._record_answer(attempt, "pushed")
                 if attempt.earlier_attempts < attempt.demand.max_retries and not action.flag:
                     delay = action.duration + int(self.rng.expovariate(1 / 50_000))
-                    rpc_started_at, attempts, demand = attempt.rpc_started_at, attempt.earlier_attempts + 1, attempt.demand
-                    self.clock.call_at(self.clock.now + delay, lambda: self._send_attempt(demand, rpc_started_at, attempts))
+                    rpc_started_at, attempts, demand = (
+                        attempt.rpc_started_at, attempt.earlier_attempts + 1, attempt.demand)
+                    self.clock.call_at(self.clock.now + delay,
+                                       lambda: self._send_attempt(demand, rpc_started_at, attempts))
             case ActionKind.ABORT:
                 self._record_answer(attempt, "aborted")
             case _:
