--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -262,7 +262,7 @@
     """Measures CPU time and p99 of an RPC alone, in a fleet of 12, and with an earlier version (--before)."""
     from hollystage.standins.caller import LoadGenerator, Traffic
     from hollystage.standins.fleet.faults import Schedule
-    from hollystage.standins.fleet.rig import LoadGenerator as Machine
+    from hollystage.standins.fleet.rig import Load as Machine
     from hollystage.standins.fleet.rig import Rig
     from hollystage.standins.interpreter import SimulatedInterpreter
     from hollystage.standins.services import ControlPlane, FixedLatencyLedger
