--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -163,8 +163,8 @@
         rates: clock rates of the processes, thousands per step; `SLOW_CLOCK` for others
     """
 
-    def __init__(self, odd=3, crashes=1, steps=8, rates=None):
-        self.message_faults, self.crashes, self.steps, self.rates = odd, crashes, steps, rates or {}
+    def __init__(self, message_faults=3, crashes=1, steps=8, rates=None):
+        self.message_faults, self.crashes, self.steps, self.rates = message_faults, crashes, steps, rates or {}
 
     def clock(self, state, name):
         """Returns the time by the clock of a process."""
@@ -210,16 +210,17 @@
 class LeaseModel(Model):
     """Voters v0.. and candidates s0.. of one lease.
 
-    `voter` and `seeker` are the classes of the decision code, or subclasses with a seeded fault; `sets` are the voter
-    sets of the candidates.
+    `voter` and `candidate` are the classes of the decision code, or subclasses with a seeded fault; `voter_sets` are
+    the voter sets of the candidates.
     """
 
-    def __init__(self, voter=Voter, seeker=Candidate, voters=3, seekers=2, terms=None, sets=None, **more):
+    def __init__(self, voter=Voter, candidate=Candidate, voters=3, candidates=2, parameters=None, voter_sets=None,
+                 **more):
         super().__init__(**more)
-        self.classes = voter, seeker
-        self.parameters = terms or LeaseParameters(duration=20_000, drift=DRIFT, margin=0)
+        self.classes = voter, candidate
+        self.parameters = parameters or LeaseParameters(duration=20_000, drift=DRIFT, margin=0)
         self.names = [f"v{n}" for n in range(voters)]
-        self.voter_sets = sets or [VoterSet(tuple(self.names))] * seekers
+        self.voter_sets = voter_sets or [VoterSet(tuple(self.names))] * candidates
 
     def initial_state(self):
         """Returns the state in which no candidate has started a round."""
@@ -325,15 +326,15 @@
 class BudgetModel(Model):
     """Members m0.. share the units of one budget, granted by at most one allocator at a time, as the lease ensures.
 
-    `share` and `divider` are the classes of the decision code, or subclasses with a seeded fault; `lends`: whether
+    `claimant` and `allocator` are the classes of the decision code, or subclasses with a seeded fault; `lends`: whether
     members lend units to each other.
     """
 
-    def __init__(self, members=3, whole=4, floor=0, share=Claimant, divider=Allocator, lends=False, **more):
+    def __init__(self, members=3, total=4, floor=0, claimant=Claimant, allocator=Allocator, lends=False, **more):
         super().__init__(**more)
-        self.classes = share, divider
+        self.classes = claimant, allocator
         self.parameters = LeaseParameters(duration=20_000, drift=DRIFT, margin=0)
-        self.budget = Budget("b", whole, floor, members, max_use_duration=2 * STEP, reserve_fraction=0.0)
+        self.budget = Budget("b", total, floor, members, max_use_duration=2 * STEP, reserve_fraction=0.0)
         self.names, self.lends = [f"m{n}" for n in range(members)], lends
 
     def initial_state(self):
