--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -326,7 +326,7 @@
 class BudgetModel(Model):
     """Members m0.. share the units of one budget, granted by at most one allocator at a time, as the lease ensures.
 
-    `claimant` and `allocator` are the classes of the decision code, or subclasses with a seeded fault; `lends`: whether
+    `claimant` and `allocator` are the classes of the decision code, or subclasses with a seeded fault; with `lends`,
     members lend units to each other.
     """
 
