--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -108,7 +108,7 @@
 
 
 def detect(job: tuple[int, int]) -> dict[str, float]:
-    """Kills one member and returns when the first, the median and the last member hold it for lost (seconds)."""
+    """Kills one member and returns the seconds until the first, median and last member considers it lost."""
     count, seed = job
     fleet = FleetSimulation(count, seed, converged=True)
     fleet.run(5)
@@ -142,7 +142,7 @@
     """Pauses one member in twenty again and again and returns the false accusations per member and hour.
 
     A paused member runs for 20 to 100 ms and is suspended for 0.1 to 0.9 s. Links take 20 to 60 ms. Returns the
-    rates of healthy members suspected, of healthy members held for lost and of paused members held for lost.
+    rates of healthy members suspected, healthy members considered lost and paused members considered lost.
     """
     count, seed, detects_stalls, seconds = job
     fleet = FleetSimulation(count, seed, converged=True,
@@ -169,8 +169,8 @@
 @app.command()
 def slow(seeds: int = 10, sizes: str = "20,100,300", seconds: float = 120.0, at_once: int = 6) -> None:
     """Measures false accusations while one member in twenty is slow, with and without stall detection."""
-    print("| members | stall detection | healthy members suspected, per member and hour | healthy members held "
-          "for lost | slow members held for lost |\n| --- | --- | --- | --- | --- |")
+    print("| members | stall detection | healthy members suspected, per member and hour | healthy members "
+          "considered lost | slow members considered lost |\n| --- | --- | --- | --- | --- |")
     with ProcessPoolExecutor(at_once) as pool:
         for count in map(int, sizes.split(",")):
             for detects_stalls in (True, False):
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -27,7 +27,13 @@
 from hollystage.standins.ledger import LedgerModel, LedgerParameters  # noqa: E402
 from hollystage.standins.processor_sharing import VirtualClock  # noqa: E402
 from hollystage.standins.scenes import START_US, SceneSimulation, default_demands, make_settings  # noqa: E402
-from hollystage.standins.simulated_instance import SECOND, Demand, SimulatedInstance, idempotent_method, keyed_method  # noqa: E402
+from hollystage.standins.simulated_instance import (  # noqa: E402
+    SECOND,
+    Demand,
+    SimulatedInstance,
+    idempotent_method,
+    keyed_method,
+)
 
 FIXED_LIMITS = (1, 2, 3, 4, 6, 8, 10, 12, 16, 20, 25, 30, 40, 60)
 SCENES = ("slow", "dead", "weak", "waves")
@@ -45,8 +51,8 @@
     within target while the ledger is slow, and the maximum of calls in progress at the ledger.
     """
     name, seed, (policy, value, pooled) = job
-    below = CallLimitConfig("window") if policy == "window" else CallLimitConfig(policy, value or 1.0, value or 60.0)
-    scene = SceneSimulation(name, seed, seconds=END_S, call_limit=below, pooling=POOL_CONFIG if pooled else None)
+    limit = CallLimitConfig("window") if policy == "window" else CallLimitConfig(policy, value or 1.0, value or 60.0)
+    scene = SceneSimulation(name, seed, seconds=END_S, call_limit=limit, pooling=POOL_CONFIG if pooled else None)
     instance = scene.run()
     worth = instance.worth_by_second(END_S)
     worst = min(sum(worth[at:at + WINDOW_S]) / WINDOW_S for at in range(START_S, END_S - WINDOW_S))
