--- a/hollystage/decisions/calls/limits.py
+++ b/hollystage/decisions/calls/limits.py
@@ -1,8 +1,8 @@
-"""Adaptive limits on the number of concurrent calls to one ledger, or of one pool's calls to it.
+"""Adaptive limits on the number of concurrent calls to one ledger, in total or for one pool.
 
 Each limit adapts to the results of calls only. docs/notes/class-pools.md compares the policies:
 
-- `WindowLimit`, the default: grows by one per round trip, decreases by a factor on a congestion signal.
+- `WindowLimit`, the default: grows by one per round trip and is multiplied by a factor on a congestion signal.
 - `AimdLimit`: additive increase and multiplicative decrease, with smaller decreases and no growth while unused.
 - `GradientLimit`: follows the ratio of the minimum latency to the current latency.
 - `QueueLimit`: follows the estimated number of calls queued downstream, like TCP Vegas.
@@ -17,7 +17,8 @@
 
 from ...interface import Outcome
 
-LOST_REPLY_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET)  # a single lost reply does not prove that the ledger is overloaded
+# the reply was lost; a single lost reply does not prove that the ledger is overloaded
+LOST_REPLY_OUTCOMES = (Outcome.TIMEOUT, Outcome.RESET)
 REFUSED_OUTCOMES = (Outcome.FULL, Outcome.CONNECT_FAILED)
 
 
@@ -43,21 +44,23 @@
         """Adapts the limit to the result of one call."""
 
     def set_bounds(self, min_value: float, max_value: float) -> None:
-        """Sets new bounds; the value is clamped to them immediately."""
+        """Sets new bounds and clamps the value to them immediately."""
 
     def on_stall(self, now: int) -> None:
-        """Reports that this process was suspended until `now`: calls that started earlier ended late for that reason,
-        so their results are ignored."""
+        """Reports that this process was suspended until `now`.
+
+        Calls that started earlier ended late for that reason, so their results are ignored.
+        """
 
 
 class BoundedLimit:
-    """Base of the limits: a value between two bounds. Results of calls that started before a stall are ignored."""
+    """Base of the limits: a value between two bounds."""
 
     def __init__(self, start: float, min_value: float, max_value: float, now: int = 0) -> None:
         self.decreased_at = now
         self.min_value, self.max_value = max(0.001, min_value), max(0.001, min_value, max_value)
         self.value = max(self.min_value, min(start, self.max_value))
-        self.ignore_until = 0
+        self.ignore_until = 0  # results of calls that started earlier are ignored
 
     def set_bounds(self, min_value: float, max_value: float) -> None:
         self.min_value, self.max_value = max(0.001, min_value), max(0.001, min_value, max_value)
@@ -82,14 +85,14 @@
     once per typical call duration.
 
     A refusal, a failure, or a slow or lost reply among many is a congestion signal. The limit also grows while it is
-    not fully used: on the users' platform an unused limit costs nothing, and a burst can use it immediately.
+    not fully used: on the users' platform an unused limit costs nothing, and a burst can use it at once.
     """
 
     DECREASE_FACTOR = 0.7
 
     def on_call_end(self, call: CallResult) -> None:
         if call.outcome is Outcome.OK and not call.slow_or_lost:
-            self.value += min(self.value, 1 / self.value)
+            self.value += min(self.value, 1 / self.value)  # a limit below 1 at most doubles
         if call.congestion_signal and call.now - self.decreased_at > call.typical_duration:
             self.value, self.decreased_at = self.value * self.DECREASE_FACTOR, call.now
         self._set_value(self.value)
@@ -101,11 +104,13 @@
     After a decrease it grows only as fast as calls end, so a slow ledger makes it grow slowly.
     """
 
-    DECREASE_FACTOR, MIN_UTILIZATION = 0.85, 0.5  # the latter: share of the limit that must be in flight for an increase
+    DECREASE_FACTOR = 0.85
+    MIN_UTILIZATION = 0.5  # share of the limit that must be in flight for an increase
 
     def __init__(self, start: float, min_value: float, max_value: float, now: int = 0) -> None:
         super().__init__(start, min_value, max_value, now)
-        self.slow_start = True  # until the first decrease the limit doubles each round trip, for a quick cold start
+        # until the first decrease the limit doubles each round trip, so that a cold start is quick
+        self.slow_start = True
 
     def on_call_end(self, call: CallResult) -> None:
         if call.outcome is Outcome.CANCELLED or call.now - call.duration < self.ignore_until:
@@ -115,15 +120,16 @@
             if call.now - call.duration > self.decreased_at:
                 self._set_value(self.value * self.DECREASE_FACTOR)
                 self.decreased_at, self.slow_start = call.now, False
-        elif call.outcome is Outcome.OK and not call.slow_or_lost and call.in_flight >= self.MIN_UTILIZATION * self.value:
+        elif (call.outcome is Outcome.OK and not call.slow_or_lost
+              and call.in_flight >= self.MIN_UTILIZATION * self.value):
             self._set_value(self.value + (1.0 if self.slow_start else 1 / max(1.0, self.value)))
 
 
 class WindowedMinimum:
     """Approximate minimum of a quantity over the last `span`, from the minima of two half spans.
 
-    >>> least = WindowedMinimum(100)
-    >>> [least.add(value, now) for value, now in ((5, 0), (9, 40), (9, 60), (9, 120))]
+    >>> minimum = WindowedMinimum(100)
+    >>> [minimum.add(value, now) for value, now in ((5, 0), (9, 40), (9, 60), (9, 120))]
     [5, 5, 5, 9]
     """
 
@@ -169,15 +175,19 @@
             self._set_value(self.value * 0.9)
 
     def _adjust(self, gradient: float, is_used: bool) -> None:
-        """Adapts the limit. `gradient`: minimum latency divided by current latency, at most about 1; `is_used`: at
-        least half of the limit is in flight."""
+        """Adapts the limit.
+
+        `gradient`: minimum latency divided by current latency, at most about 1; `is_used`: at least half of the limit
+        is in flight.
+        """
         raise NotImplementedError
 
 
 class GradientLimit(LatencyLimit):
     """Scales the limit by the ratio of minimum to current latency, and adds its square root for a short queue."""
 
-    TOLERANCE, SMOOTHING = 1.5, 0.2
+    TOLERANCE = 1.5  # multiple of the minimum latency up to which the limit is not scaled down
+    SMOOTHING = 0.2
 
     def _adjust(self, gradient: float, is_used: bool) -> None:
         if is_used:
@@ -201,19 +211,19 @@
 class DeliveryLimit(BoundedLimit):
     """The best recent rate of good replies times the minimum recent latency, plus an allowance for probing.
 
-    If every call of a ledger takes longer, its rate falls and its calls overlap more: the two effects cancel, and the
-    limit stays at the point that just fills the ledger. If the ledger lost slots, its rate falls while the minimum
-    latency stays, so the limit falls. Probing detects that the ledger has recovered; without a higher rate the limit
-    returns to its former value.
+    If all calls to a ledger take longer, its rate falls and its minimum latency rises: the two effects cancel, and
+    the limit stays at the value that just fills the ledger. If the ledger loses slots, its rate falls while the
+    minimum latency stays the same, so the limit falls. The allowance detects that the ledger has recovered: if the
+    rate does not rise with the limit, the limit returns to its former value.
     """
 
-    RATE_SPAN, BIN_WIDTH = 4_000_000, 250_000
-    PROBE_GAIN, PROBE_ALLOWANCE = 1.3, 2.0
+    RATE_SPAN, BIN_WIDTH = 4_000_000, 250_000  # microseconds
+    PROBE_GAIN, PROBE_ALLOWANCE = 1.3, 2.0  # the allowance: a factor, and a number of calls
 
     def __init__(self, start: float, min_value: float, max_value: float, now: int = 0) -> None:
         super().__init__(start, min_value, max_value, now)
         self.min_latency = WindowedMinimum(self.RATE_SPAN)
-        self.bins: deque[tuple[int, int]] = deque()  # number of a time bin, and its good replies
+        self.bins: deque[tuple[int, int]] = deque()  # number of each time bin and its count of good replies
 
     def on_call_end(self, call: CallResult) -> None:
         if call.outcome is Outcome.CANCELLED or call.now - call.duration < self.ignore_until:
@@ -239,8 +249,9 @@
         self._set_value(self.value + (goal - self.value) * (0.05 if goal > self.value else 0.1))
 
 
-POLICIES: dict[str, type[BoundedLimit]] = {"window": WindowLimit, "aimd": AimdLimit, "gradient": GradientLimit, "queue": QueueLimit,
-                                      "delivery": DeliveryLimit, "fixed": FixedLimit}
+POLICIES: dict[str, type[BoundedLimit]] = {
+    "window": WindowLimit, "aimd": AimdLimit, "gradient": GradientLimit, "queue": QueueLimit,
+    "delivery": DeliveryLimit, "fixed": FixedLimit}
 
 
 def make_limit(policy: str, start: float, min_value: float, max_value: float, now: int = 0) -> Limit:
--- a/hollystage/decisions/calls/pacing.py
+++ b/hollystage/decisions/calls/pacing.py
@@ -1,10 +1,10 @@
-"""Fractional concurrency limits: keeps the mean number of calls at a limit that is not a whole number.
+"""Fractional concurrency limits: keeps the mean number of calls within a limit that need not be a whole number.
 
-A limit of 2.3 allows two calls at any time, and a third one for three tenths of the time. What the third call uses
-beyond that is a debt in call-microseconds: it grows while the third call is in flight and shrinks by the fraction of
-the limit, and no other third call starts before the debt is paid. Nothing is rounded up, so that the sum over many
-processes keeps to its limit too. The first call is not free either: each process starts with a debt drawn from its
-seed, so that processes that start together do not all call at the same moment.
+A limit of 2.3 allows two calls at any time, and a third call for three tenths of the time. What the third call uses
+beyond that is a debt in call-microseconds: it grows while the third call is in flight, decreases at the rate of the
+limit's fraction, and no other third call starts until it is back at zero. Nothing is rounded up, so that the total of
+many processes stays within its limit too. The first call is not exempt: each process starts with a debt drawn from
+its seed, so that processes that start together do not all call at the same moment.
 """
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 class Pacer:
     """Computes how many calls may be in flight now; times in microseconds.
 
-    >>> pacer = Pacer(now=0, debt=0, over=1000)
+    >>> pacer = Pacer(now=0, debt=0, averaging_span=1000)
     >>> pacer.allowed(0.25, now=0)
     1
     >>> pacer.in_flight = 1  # starts now and ends after 100 microseconds
@@ -43,8 +43,8 @@
 
     @property
     def max_call_duration(self) -> int:
-        """Longest duration of one call: the whole span if the limit is at least 1, else the limit's fraction of it.
+        """Longest allowed duration of one call: the whole span if the limit is at least 1, else that share of it.
 
-        A span contains no more call time than one such call, since the pause after it fills the rest of the span.
+        A span then contains the time of at most one such call, since the pause after it fills the rest of the span.
         """
         return int(self.averaging_span * min(1.0, self.limit))
--- a/hollystage/decisions/calls/pools.py
+++ b/hollystage/decisions/calls/pools.py
@@ -1,17 +1,16 @@
-"""Pools of methods share the slots on the cores and the slots for downstream calls: guarantees, ceilings, lending and
-the reserve.
+"""Pools of methods share the slots on the cores and the slots for downstream calls.
 
-Within a pool the tags of the cascade decide the order; this module sees only the smallest tag of each pool. Between
-pools:
+Within a pool, RPCs start in the order of their tags, which the decision module computes; this module sees only the
+smallest tag of each pool. Between pools:
 
 1. A pool with queued RPCs that uses less than its guarantee precedes all pools that would borrow.
 2. Otherwise the smallest tag wins among the pools that may borrow: those below their ceiling, as long as the unused
    guarantees of pools that do not lend stay free.
 3. If no slot is free, the cheapest methods may still use the reserve.
 
-Running RPCs are never stopped: a lender that needs its guarantee takes the next free slot, so it has its share back
-within the duration of a typical run. A guarantee of less than one slot is kept in the mean, by the time for which
-slots were used.
+Running RPCs are never stopped: a lender that needs its guarantee gets the next free slot, so it has its share back
+within the duration of a typical run. A guarantee of less than one slot is met in the mean, measured by the time for
+which slots were used.
 """
 from __future__ import annotations
 
@@ -23,10 +22,10 @@
 from .limits import CallResult, Limit, make_limit
 from .retry_budget import RetryBudget
 
-USAGE_DECAY_TIME = 1_000_000  # microseconds; time constant of the usage that fractional guarantees are compared with
-COST_HYSTERESIS = 0.8  # a method replaces one that has the reserve only if its cost is below this share of the other's
+USAGE_DECAY_TIME = 1_000_000  # microseconds; time constant of the mean usage, which is compared with guarantees
+COST_HYSTERESIS = 0.8  # a method replaces another in the reserve only if its cost is below this share of the other's
 NO_POOL = -1
-NOT_STARTED, ON_CORES, AWAITING_CALL, IN_CALL = range(4)  # where an RPC is, as far as slots are concerned
+NOT_STARTED, ON_CORES, AWAITING_CALL, IN_CALL = range(4)  # states of an RPC that differ in the slots they use
 
 
 @dataclass(slots=True)
@@ -68,12 +67,12 @@
             1e-9, self.pools[pool].guaranteed * limit * USAGE_DECAY_TIME)
 
     def below_guarantee(self, pool: int, limit: float, now: int) -> bool:
-        """Returns whether one more slot is within the pool's guarantee; a fraction of a slot counts in the mean."""
+        """Returns whether one more slot is within the pool's guarantee; a fraction of a slot is met in the mean."""
         guarantee, in_use = self.pools[pool].guaranteed * limit, self.usage[pool].in_use
         return in_use + 1 <= guarantee or in_use < guarantee and self.guarantee_used(pool, limit, now) < 1
 
     def reserved_slots(self, limit: float) -> int:
-        """Number of whole slots that only the reserve may use."""
+        """Returns the number of whole slots that only the reserve may use."""
         return floor(self.reserve_share * limit + 1e-9)
 
     @property
@@ -84,13 +83,14 @@
     def reserve_available(self, limit: float, now: int) -> bool:
         """Returns whether the reserve has a free slot.
 
-        A fraction of a slot is available in the mean only: a whole slot beyond the limit, always used under load,
-        would slow all other work (measured: 2% less served).
+        A fraction of a slot is available only in the mean: a whole slot beyond the limit, which is always in use
+        under load, would slow down all other work (measured: 2% less served).
         """
         slots = self.reserve_share * limit
         if self.reserve_usage.in_use + 1 <= slots:
             return True
-        slot_time = self._decayed(self.reserve_usage.slot_time, self.reserve_usage.in_use, self.reserve_usage.updated_at, now)
+        slot_time = self._decayed(
+            self.reserve_usage.slot_time, self.reserve_usage.in_use, self.reserve_usage.updated_at, now)
         return self.reserve_usage.in_use + 1 <= ceil(slots - 1e-9) and slot_time < slots * USAGE_DECAY_TIME
 
     def choose(self, limit: float, head_tags: Sequence[int | None], in_use: int, now: int) -> int:
@@ -103,7 +103,8 @@
         count, self.limit = len(self.pools), limit
         free = limit - self.reserved_slots(limit) - (in_use - self.reserve_in_use)
         if free >= 1 or not in_use and not self.reserved_slots(limit):
-            chosen = self._smallest_tag(head_tags, lambda pool: self.usage[pool].in_use + 1 <= self.pools[pool].guaranteed * limit)
+            chosen = self._smallest_tag(
+                head_tags, lambda pool: self.usage[pool].in_use + 1 <= self.pools[pool].guaranteed * limit)
             if chosen == NO_POOL:
                 chosen = self._most_underserved(head_tags, limit, now)
             if chosen != NO_POOL:
@@ -120,8 +121,8 @@
     def _most_underserved(self, head_tags: Sequence[int | None], limit: float, now: int) -> int:
         """Returns the pool that used the smallest part of its guarantee, of those with a fraction of a slot left.
 
-        If tags decided here, the first few of many small pools would each overdraw a little and the last pools would
-        get nothing.
+        If tags decided here, the first few of many small pools would each exceed their guarantee a little and the
+        last pools would get nothing.
         """
         candidates = [(self.guarantee_used(pool, limit, now), tag, pool) for pool, (spec, tag) in enumerate(
             zip(self.pools, head_tags, strict=False))
@@ -147,19 +148,19 @@
 
 @dataclass(slots=True)
 class CheapestMethods:
-    """The methods that may use the reserve: the cheapest ones, as many as the reserve can serve."""
+    """The methods that may use the reserve: the cheapest ones, as many as it has capacity for."""
 
     methods: frozenset[int] = frozenset()
     costs: dict[int, float] = field(default_factory=dict)
 
     def update(self, rows: Sequence[tuple[int, float, float]], capacity: float) -> None:
-        """Selects the methods; at least one, as long as any method is requested.
+        """Selects the methods; at least one if `rows` is not empty.
 
-        `rows`: method, RPCs per second, and cost of an RPC on the cores and downstream, in microseconds. `capacity`:
-        seconds of work per second that the reserve has.
+        `rows`: method, RPCs per second, and cost of one RPC on the cores and downstream, in microseconds. `capacity`:
+        seconds of work that the reserve can do per second.
         """
         self.costs = {method: cost for method, _, cost in rows}
-        # costs are noisy: a method keeps the reserve until another one is clearly cheaper
+        # estimated costs are noisy, so a method keeps the reserve until another one is clearly cheaper
         ranked = sorted(rows, key=lambda row: row[2] * (COST_HYSTERESIS if row[0] in self.methods else 1.0))
         chosen: list[int] = []
         remaining = capacity
@@ -171,7 +172,7 @@
             remaining -= load
             if remaining <= 0:
                 break
-        # a method of about average cost is not cheap: with it the reserve would be a pool like any other
+        # a method of about average cost is not cheap: with it, the reserve would be a pool like any other
         mean = sum(rate * cost for _, rate, cost in rows) / max(1e-9, sum(rate for _, rate, _ in rows))
         self.methods = frozenset(method for method in chosen if method == chosen[0]
                                  or self.costs[method] <= mean)
@@ -180,8 +181,8 @@
 class Pools:
     """The pools of one instance: slots, retry budgets and call limits.
 
-    `calls` is the instance's share of concurrent calls. The state of the earlier pools, `previous`, is taken over.
-    All times are in microseconds.
+    `calls` is the instance's share of concurrent calls. The state of `previous`, the pools before a change of
+    configuration, is taken over. All times are in microseconds.
     """
 
     def __init__(self, pooling: PoolConfig, calls: float, now: int, previous: Pools | None = None) -> None:
@@ -193,14 +194,16 @@
         self.limits: list[Limit | None] = [make_limit(pool.limit_policy, max(1.0, calls / 2), 1.0, max(1.0, calls))
                                            if pool.limit_policy else None for pool in pooling.pools]
         self.pool_refs = [PoolRef(number) for number in range(len(pooling.pools))]
-        self.in_progress = [0] * len(pooling.pools)  # on the cores, waiting for a call or in one
-        self.max_in_progress = 1e9  # upper bound on their sum; the decision module updates it at each tick
+        self.in_progress = [0] * len(pooling.pools)  # RPCs of each pool: on the cores, waiting for a call or in one
+        self.max_in_progress = 1e9  # bound on their sum; the decision module updates it at each tick
         if previous is not None:
             self._take_over(previous, now)
 
     def _take_over(self, previous: Pools, now: int) -> None:
-        """Transfers the state of each earlier pool to the pool of the same name, else to its heir, else to the last
-        pool. A pool that became smaller drains by itself, since it starts nothing beyond its ceiling."""
+        """Transfers the state of each previous pool to the pool of its name, else to its heir, else to the last pool.
+
+        A pool that became smaller needs no special treatment: it starts nothing beyond its new ceiling.
+        """
         names = [pool.name for pool in self.pooling.pools]
         for old, pool_ref in enumerate(previous.pool_refs):
             new = previous.heir(previous.pooling.pools[old].name, names)
@@ -218,8 +221,9 @@
         self.cheapest, self.max_in_progress = previous.cheapest, previous.max_in_progress
 
     def heir(self, name: str, known: Sequence[str]) -> int:
-        """Returns the index in `known` of the pool that takes over from `name`: the pool itself, its heir, the heir's
-        heir and so on; else the last one.
+        """Returns the index in `known` of the pool that takes over from the pool `name`.
+
+        This is the first one in `known` of the pool itself, its heir, the heir's heir and so on; else the last one.
 
         >>> old = Pools(PoolConfig((Pool("a", .5, heir="b"), Pool("b", .2, heir="c"))), 1.0, 0)
         >>> old.heir("a", ["c", "d"]), old.heir("a", ["b", "a"]), old.heir("b", ["x", "y"])
@@ -235,7 +239,7 @@
         return len(known) - 1
 
     def close(self) -> None:
-        """Detaches all RPCs from the pools, when pools are no longer configured."""
+        """Detaches all RPCs from the pools, which are no longer configured."""
         for pool_ref in self.pool_refs:
             pool_ref.number = NO_POOL
 
@@ -252,7 +256,10 @@
             pool_limit.on_call_end(replace(result, in_flight=self.calls.usage[number].in_use))
 
     def update_cheapest(self, rows: Sequence[tuple[int, float, float]], limit: float) -> None:
-        """Selects the methods that may use the reserve; for `rows` see `CheapestMethods.update`."""
+        """Selects the methods that may use the reserve.
+
+        `rows`: see `CheapestMethods.update`; `limit`: the limit on concurrent runs.
+        """
         self.cheapest.update([row for row in rows if row[1] > 0.01], self.pooling.reserve.running * limit)
 
     def pool_ref(self, method: int) -> PoolRef:
@@ -264,9 +271,10 @@
         return self.pooling.reserve.running > 0 and method in self.cheapest.methods
 
     def calls_starve_runs(self, rpc: Rpc) -> bool:
-        """Returns whether RPCs that wait for calls or are in calls occupy the slots that the pool needs for running.
+        """Returns whether the RPCs of a pool that wait for calls or are in calls leave too few slots for its runs.
 
-        An RPC that can continue without its call should then do so: a pool with all its slots in calls runs nothing.
+        An RPC of this pool that can continue without its call should then do so: a pool with all its RPCs in calls
+        runs nothing. `rpc`: any RPC of the pool.
         """
         number = rpc.pool_ref.find() if rpc.pool_ref is not None else NO_POOL
         if number == NO_POOL:
@@ -277,19 +285,20 @@
         return off_cores + 1 + run_slots > self._capacity_for(number, self.max_in_progress, self._total_demand())
 
     def next_to_start(self, limit: float, head_tags: Sequence[int | None], in_use: int, now: int) -> int:
-        """Returns the queue whose first RPC may run; the arguments and the result are those of
-        `SlotAllocator.choose`."""
+        """Returns the queue whose first RPC may run; for arguments and result see `SlotAllocator.choose`."""
         total = sum(self.in_progress)
         if total + 1 > self.max_in_progress or all(tag is None for tag in head_tags):
             return NO_POOL
         demand = self._total_demand()  # computed once, since there may be many pools
-        allowed = [tag if tag is not None and self.in_progress[pool] + 1 <= self._capacity_for(pool, self.max_in_progress, demand) else None
-                   for pool, tag in enumerate(head_tags[:-1])]
+        allowed = [tag if tag is not None and self.in_progress[pool] + 1 <= self._capacity_for(
+            pool, self.max_in_progress, demand) else None for pool, tag in enumerate(head_tags[:-1])]
         return self.cores.choose(limit, [*allowed, head_tags[-1]], in_use, now)
 
     def next_to_call(self, limit: float, head_tags: Sequence[int | None], in_use: int, now: int) -> int:
-        """Returns the queue whose first RPC may call; the arguments and the result are those of
-        `SlotAllocator.choose`. A pool at its own limit is skipped and does not block the other pools."""
+        """Returns the queue whose first RPC may call; for arguments and result see `SlotAllocator.choose`.
+
+        A pool at its own limit is skipped, so that it does not block the other pools.
+        """
         if all(tag is None for tag in head_tags):
             return NO_POOL
         allowed = [None if pool_limit is not None and self.calls.usage[pool].in_use + 1 > max(1.0, pool_limit.value)
@@ -297,10 +306,10 @@
         return self.calls.choose(limit, [*allowed, head_tags[-1]], in_use, now)
 
     def on_move(self, rpc: Rpc, before: int, after: int, now: int) -> None:
-        """Accounts for an RPC that moves between NOT_STARTED, ON_CORES, AWAITING_CALL and IN_CALL.
+        """Updates the slots in use when an RPC changes between NOT_STARTED, ON_CORES, AWAITING_CALL and IN_CALL.
 
-        A slot of the reserve returns to the reserve: an RPC that started on a slot of the reserve counts there until
-        it leaves the slot.
+        An RPC that got a slot of the reserve counts there until it leaves the slot; the slot then returns to the
+        reserve.
         """
         number = rpc.pool_ref.find() if rpc.pool_ref is not None else NO_POOL
         if number == NO_POOL or before == after:
@@ -320,14 +329,15 @@
     def has_room(self, number: int, max_in_progress: float, in_progress: int) -> bool:
         """Returns whether one more RPC of this pool may be in progress: on the cores, waiting for a call or in one.
 
-        Of the RPCs in progress each pool keeps as many as its guarantee on the cores. These are not lent, since an
-        RPC that waits for a slow ledger stays in progress for as long as the call takes. Without this rule a ledger
-        that becomes slow fills all of `max_in_progress` with calls, and methods without calls cannot even start.
+        Part of `max_in_progress` is set aside for each pool, equal to its guarantee on the cores. This part is not
+        lent, since an RPC that waits for a slow ledger stays in progress for as long as the call takes. Without this
+        rule a slow ledger would fill all of `max_in_progress` with calls, and methods without calls could not start.
         """
-        return in_progress + 1 <= max_in_progress and self.in_progress[number] + 1 <= self._capacity_for(number, max_in_progress, self._total_demand())
+        return in_progress + 1 <= max_in_progress and self.in_progress[number] + 1 <= self._capacity_for(
+            number, max_in_progress, self._total_demand())
 
     def _demand(self, number: int) -> float:
-        """Number of RPCs that a pool has in progress, plus those that its guarantee still allows it to run."""
+        """Returns how many RPCs a pool has in progress, plus how many more its guarantee allows to run."""
         running = self.cores.usage[number].in_use
         return self.in_progress[number] - running + max(
             float(running), self.pooling.pools[number].guaranteed * self.cores.limit)
@@ -340,8 +350,7 @@
         return max(1.0, max_in_progress - (total_demand - self._demand(number)))
 
     def may_call(self, rpc: Rpc, now: int) -> bool:
-        """Returns whether a call may be made now: the first one always, another one if the pool's retry budget
-        allows it."""
+        """Returns whether the RPC may call now: always for its first call, then if its pool's retry budget allows."""
         number = rpc.pool_ref.find() if rpc.pool_ref is not None else NO_POOL
         if number == NO_POOL:
             return True
@@ -351,16 +360,18 @@
         return True
 
     def below_guarantee(self, rpc: Rpc, limit: float, now: int) -> bool:
-        """Returns whether the RPC's pool is below its guarantee. Only RPCs of pools that borrow are rejected by their
-        latency class."""
+        """Returns whether the RPC's pool is below its guarantee.
+
+        RPCs are rejected by their latency class only if their pool is not.
+        """
         number = rpc.pool_ref.find() if rpc.pool_ref is not None else NO_POOL
         return number != NO_POOL and self.cores.below_guarantee(number, limit, now)
 
     def estimated_wait(self, rpc: Rpc, pool_work: float, total_work: float, limit: float) -> float:
         """Returns how long the RPC will be queued, in microseconds.
 
-        It waits for the work queued in its pool, done on the guaranteed slots, or for all queued work with smaller
-        tags, done on all slots, whichever is shorter. `pool_work`, `total_work`: that work, in microseconds.
+        This is the shorter of two times: the queued work of its pool, divided by the guaranteed slots, and all queued
+        work with smaller tags, divided by all slots. `pool_work`, `total_work`: that work, in microseconds.
         """
         number = rpc.pool_ref.find() if rpc.pool_ref is not None else NO_POOL
         if number == NO_POOL:
@@ -369,9 +380,8 @@
         return min(total_work / limit, pool_work / guaranteed) if guaranteed else total_work / limit
 
     def has_own_slot(self, rpc: Rpc, method: int, limit: float, in_use: int, head_tags: Sequence[int | None],
-                now: int) -> bool:
-        """Returns whether a slot is free for this RPC regardless of other pools: of its own pool, or of the
-        reserve."""
+                     now: int) -> bool:
+        """Returns whether a slot of the RPC's pool or of the reserve is free for it, whatever other pools do."""
         number = rpc.pool_ref.find() if rpc.pool_ref is not None else NO_POOL
         if number == NO_POOL:
             return False
@@ -391,11 +401,13 @@
         for number, pool in enumerate(self.pooling.pools):
             cores, calls, pool_limit = self.cores.usage[number], self.calls.usage[number], self.limits[number]
             values |= {f"pool.{pool.name}.running": cores.in_use, f"pool.{pool.name}.calling": calls.in_use,
-                       f"pool.{pool.name}.started_in_need": cores.guaranteed_starts, f"pool.{pool.name}.borrowed": cores.borrowed_starts,
+                       f"pool.{pool.name}.started_in_need": cores.guaranteed_starts,
+                       f"pool.{pool.name}.borrowed": cores.borrowed_starts,
                        f"pool.{pool.name}.retries_refused": self.retry_budgets[number].refused}
             if pool_limit is not None:
                 values[f"pool.{pool.name}.limit"] = round(pool_limit.value, 2)
         return values | {"reserve.running": self.cores.reserve_in_use, "reserve.calling": self.calls.reserve_in_use}
 
 
-__all__ = ["IN_CALL", "ON_CORES", "NO_POOL", "NOT_STARTED", "AWAITING_CALL", "CheapestMethods", "SlotAllocator", "Pools"]
+__all__ = ["AWAITING_CALL", "IN_CALL", "NOT_STARTED", "NO_POOL", "ON_CORES", "CheapestMethods", "Pools",
+           "SlotAllocator"]
--- a/hollystage/decisions/calls/retry_budget.py
+++ b/hollystage/decisions/calls/retry_budget.py
@@ -1,8 +1,8 @@
 """Retry budget: retries are limited to a share of first attempts, plus a minimum rate.
 
 Each first attempt adds a fraction of a credit and each retry costs one credit. Under steady load retries are
-therefore at most this fraction of first attempts, however many attempts fail. The minimum rate allows retries in a
-pool with little traffic.
+therefore at most this fraction of first attempts, however many attempts fail. The minimum rate allows some retries
+in a pool with little traffic.
 """
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
         self.balance += self.ratio
 
     def try_spend(self, now: int) -> bool:
-        """Returns whether a retry is allowed now, and if so takes one credit."""
+        """Returns whether a retry is allowed now; if so, it costs one credit."""
         self._decay(now)
         if self.balance < 1:
             self.refused += 1
--- a/hollystage/decisions/comeback/ramp.py
+++ b/hollystage/decisions/comeback/ramp.py
@@ -1,8 +1,8 @@
 """Ramp-up of downstream calls after a start, also when most of the fleet restarts at once.
 
-There is no coordinator. Each instance sees in its membership view how many instances are cold, and takes its share of
-a budget that is fixed for the whole fleet, at a time drawn from its seed (see `jitter`). It increases its calls only
-as long as the replies show that the dependency bears them. All times are in microseconds.
+There is no coordinator. Each instance counts the cold instances in its membership view and uses its share of a
+budget that is fixed for the whole fleet, at a time drawn from its seed (see `jitter`). It increases its calls only as
+long as the replies show that the dependency can serve them. All times are in microseconds.
 """
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 from ..membership.records import Stage, View
 
-MASS_START_SHARE = 0.25  # share of living instances that are starting or cold
-INITIAL_SHARE = 0.1  # of the usual calls
-GROWTH_FACTOR, DECREASE_FACTOR, MIN_SHARE = 1.6, 0.5, 0.03
-MIN_STEP_TIME, CALLS_PER_STEP = 100_000, 2.0  # a step takes at least this time, and this many typical calls
-MAX_FAILED_SHARE = 0.3  # share of slow, lost and refused replies above which the calls decrease
-INITIAL_BACKOFF, MAX_BACKOFF = 500_000, 8_000_000  # pause after a decrease; doubles each time
-PRESSURE_THRESHOLDS = (0.05, 0.25, 0.6)  # shares of rejected RPCs at which the published level rises
-PRESSURE_HYSTERESIS = 0.8
+MASS_START_SHARE = 0.25  # share of starting and cold instances from which on a start counts as a mass start
+INITIAL_SHARE = 0.1  # share of its calls with which a cold instance starts
+GROWTH_FACTOR, DECREASE_FACTOR, MIN_SHARE = 1.6, 0.5, 0.03  # of one step; the lower bound of the share
+MIN_STEP_TIME, CALLS_PER_STEP = 100_000, 2.0  # minimum duration of a step: absolute, and in typical call durations
+MAX_FAILED_SHARE = 0.3  # share of slow, lost and refused replies above which the share of calls decreases
+INITIAL_BACKOFF, MAX_BACKOFF = 500_000, 8_000_000  # pause after a decrease; doubles with each decrease
+PRESSURE_THRESHOLDS = (0.05, 0.25, 0.6)  # shares of rejected RPCs above which the published level rises
+PRESSURE_HYSTERESIS = 0.8  # the level falls below this share of a threshold
 MIN_FREE_SHARE = 0.2  # share of the other instances that must be free for a retry elsewhere to make sense
 
 
@@ -26,8 +26,8 @@
 
     living: int  # instances, including this one
     cold: int  # living instances that are starting or cold
-    free_share: float  # share of the other instances that serve and reject next to nothing
-    mass_start: bool  # many instances start at once
+    free_share: float  # share of the other instances that serve and reject almost nothing
+    mass_start: bool  # a large share of the instances is starting or cold
 
 
 def summarize(view: View) -> FleetSummary:
@@ -37,19 +37,19 @@
     others = [record for record in living if record.name != view.me.name]
     free = sum(record.status.stage in (Stage.COLD, Stage.SERVING) and not record.status.pressure for record in others)
     return FleetSummary(len(living), cold, free / len(others) if others else 0.0,
-                  cold >= max(2, MASS_START_SHARE * len(living)))
+                        cold >= max(2, MASS_START_SHARE * len(living)))
 
 
 class Ramp:
-    """The share of its usual calls that a cold instance may make.
+    """The share of its calls that a cold instance may make.
 
     The share grows in steps while replies are good, and decreases when too many are slow, lost or refused. At a share
-    of 1 the ramp is complete.
+    of 1 the ramp is complete and the share stays there.
     """
 
     def __init__(self, now: int) -> None:
         self.share, self.next_step_at, self.backoff = INITIAL_SHARE, now, INITIAL_BACKOFF
-        self.calls_at_step = 0  # number of ended calls at the last change of the share
+        self.calls_at_step = 0  # number of ended calls at the last step
         self.steps = self.decreases = 0
 
     @property
@@ -71,15 +71,16 @@
             self.decreases += 1
             self.calls_at_step = calls
         elif calls > self.calls_at_step:
-            # a share that was not used does not show that the dependency bears it
-            self.share, self.next_step_at = min(1.0, self.share * GROWTH_FACTOR), now + max(MIN_STEP_TIME, int(CALLS_PER_STEP * typical_call))
+            # without calls there is no evidence that the dependency can serve the present share
+            self.share = min(1.0, self.share * GROWTH_FACTOR)
+            self.next_step_at = now + max(MIN_STEP_TIME, int(CALLS_PER_STEP * typical_call))
             self.steps += 1
             self.calls_at_step = calls
         return self.share
 
 
 class PressureLevel:
-    """Coarse level of the share of rejected RPCs that is published to the fleet.
+    """Coarse level of the share of rejected RPCs, as published to the fleet.
 
     Hysteresis and a minimum interval of one second keep changes rare, since each change is gossiped to all members.
 
@@ -102,14 +103,14 @@
 
 
 class CallBounds(NamedTuple):
-    """What a ramp sets in the decision module."""
+    """What a RampController sets in the decision module, which still makes all decisions itself."""
 
     call_share: float  # share of the maximum number of calls
     room_elsewhere: bool  # whether a retry at another instance is likely to succeed
 
 
 class BoundedControl(Protocol):
-    """The part of the decision module that a ramp controls."""
+    """The part of the decision module that a RampController sets."""
 
     room_elsewhere: bool
 
@@ -118,9 +119,9 @@
 
 
 class RampController:
-    """Controls the downstream calls of one instance after its start; evaluated at each tick.
+    """Bounds the downstream calls of one instance after its start; updated at each tick.
 
-    Without a membership view it only applies the ramp. `configured_instances` is the number of instances for which
+    Without a membership view it only applies the ramp. `configured_instances` is the number of instances among which
     the configuration divides the calls.
     """
 
@@ -138,7 +139,7 @@
             return CallBounds(share, False)
         if view is not self.view:
             self.view, self.fleet = view, summarize(view)
-        # with more instances than configured the shares would add up to more than the dependency was sized for
+        # with more instances than configured, the shares would add up to more than the dependency is sized for
         scale = min(1.0, self.configured_instances / max(1, self.fleet.living))
         return CallBounds(share * scale, self.fleet.free_share >= MIN_FREE_SHARE)
 
--- a/hollystage/decisions/comeback/recovery.py
+++ b/hollystage/decisions/comeback/recovery.py
@@ -1,8 +1,8 @@
 """Recovery of learned state after a restart, and detection of RPCs that an earlier process may have run.
 
-The weight of a stored value decreases with its age, by the half-life of its kind, until the prior of a cold start
-remains. A value of unknown age has no weight, and grants to an earlier boot are void. `BELIEF_KINDS` lists all kinds;
-docs/notes/comeback.md names the test for each that shows that a stale value does no harm.
+The weight of a stored value decreases with its age, by the half-life of its kind, until only the default of a cold
+start remains. A value of unknown age has no weight, and grants to an earlier boot are void. `BELIEF_KINDS` lists all
+kinds; for each, docs/notes/comeback.md names the test that shows that a stale value does no harm.
 """
 from __future__ import annotations
 
@@ -14,14 +14,13 @@
 
 import msgspec
 
-from ...interface import Method, Settings
-from ...interface import MethodKind as MethodKind
+from ...interface import Method, MethodKind, Settings
 from ..membership.records import Belief, Record, Stage, View
 
-MAX_STORED_RUNS = 10.0  # bounds the weight of a stored cost, so that new measurements soon outweigh it
+MAX_STORED_RUNS = 10.0  # bounds the sample weight of a stored mean, so that new measurements soon outweigh it
 MAX_DURATION_US = 3.6e9  # one hour; no cost or call takes longer
 MIN_WEIGHT = 0.02  # a smaller weight counts as 0
-MAX_REMEMBERED_KEYS = 8_192
+MAX_REMEMBERED_KEYS = 8_192  # idempotency keys of first attempts that a RestartGuard remembers
 MAX_CLOCK_SKEW_S = 5.0  # a snapshot that is further ahead of the clock has an unknown age
 
 
@@ -51,7 +50,7 @@
     "zones left": Aging(0, "the latest generation that peers know"),
     "drains begun": Aging(0, "none"),
 }
-MONOTONIC = ("boot", "generations")  # numbers that never decrease: the greatest known one is valid at any age
+MONOTONIC = ("boot", "generations")  # numbers that never decrease: the greatest known value is valid at any age
 
 
 def weight(kind: str, age_s: float | None) -> float:
@@ -75,29 +74,27 @@
 
 
 class MethodStats(msgspec.Struct, frozen=True, array_like=True):
-    """Learned statistics of one method: means in microseconds and the weights of their samples."""
+    """Learned statistics of one method: means in microseconds, and their sample weights."""
 
-    cost: float = 0.0
-    runs: float = 0.0
+    cost: float = 0.0  # time on the cores
+    runs: float = 0.0  # weight of `cost` and `off_core_time`
     off_core_time: float = 0.0
-    reject_age: float = 0.0
-    reject_count: float = 0.0
-    patiences: tuple[float, ...] = ()  # histogram of the timeouts of callers
+    reject_age: float = 0.0  # age of an RPC when another instance rejected its first attempt
+    reject_count: float = 0.0  # weight of `reject_age`
+    timeouts: tuple[float, ...] = ()  # histogram of the callers' timeouts
 
 
 class LearnedState(msgspec.Struct, frozen=True, array_like=True):
     """Learned state of one instance.
 
-    `machine` is the fingerprint of the kind of machine, `limit` the limit on calls relative to the instance's share
-    of calls, `usual_call` the typical call duration in microseconds. `pace` is the mean ratio of time on the cores to
-    the hinted work, `hints` its weight.
+    The names do not leave the process: the stored format is an array.
     """
 
-    machine: int = 0
-    limit: float = 0.0
-    usual_call: float = 0.0
-    pace: float = 0.0
-    hints: float = 0.0
+    machine: int = 0  # fingerprint of the kind of machine
+    limit: float = 0.0  # limit on calls, relative to the instance's share of calls
+    typical_call: float = 0.0  # duration in microseconds
+    pace: float = 0.0  # mean ratio of the time on the cores to the work that callers hinted
+    hint_weight: float = 0.0  # weight of `pace`
     methods: dict[str, MethodStats] = {}
 
 
@@ -125,7 +122,8 @@
 def machine_fingerprint(settings: Settings) -> int:
     """Returns a 32-bit checksum of the settings on which the cost of an RPC depends."""
     from zlib import crc32
-    return crc32(f"{settings.cores} {settings.memory:.0f} {settings.run_factor} {settings.criticality_per_work}".encode())
+    fields = f"{settings.cores} {settings.memory:.0f} {settings.run_factor} {settings.criticality_per_work}"
+    return crc32(fields.encode())
 
 
 def export_learned(control: LearningControl, names: list[str], now: int) -> LearnedState:
@@ -137,13 +135,15 @@
     for name, method in zip(names, control.settings.methods, strict=True):
         (cost, runs), (off_core_time, _), (reject_age, reject_count) = (mean(table[method]) for table in tables)
         methods[name] = MethodStats(cost, runs, off_core_time, reject_age, reject_count,
-                              tuple(round(part, 2) for part in control.timeout_histograms[method]))
-    pace, hints = mean(control.pace)
+                                    tuple(round(part, 2) for part in control.timeout_histograms[method]))
+    pace, hint_weight = mean(control.pace)
     share = max(0.01, control.settings.calls_out)
-    return LearnedState(machine_fingerprint(control.settings), control.call_limit.value / share, control.usual_call, pace, hints, methods)
+    return LearnedState(machine_fingerprint(control.settings), control.call_limit.value / share, control.usual_call,
+                        pace, hint_weight, methods)
 
 
-def restore_learned(control: LearningControl, names: list[str], learned: LearnedState, age_s: float | None, now: int) -> dict[str, float]:
+def restore_learned(control: LearningControl, names: list[str], learned: LearnedState, age_s: float | None,
+                    now: int) -> dict[str, float]:
     """Restores learned state in a new decision module as far as its age and the kind of machine allow.
 
     Values that are not finite or out of range are ignored. Returns the weights of the kinds that were restored.
@@ -167,30 +167,34 @@
             control.run_times[method].add(stats.cost * samples, now, samples)
             if stats.off_core_time and (share := usable_weight("times off the cores", stats.off_core_time)):
                 control.off_core_times[method].add(stats.off_core_time * samples, now, samples)
-        if stats.reject_count and (share := usable_weight("ages of first tries elsewhere", stats.reject_age, stats.reject_count)):
+        if stats.reject_count and (
+                share := usable_weight("ages of first tries elsewhere", stats.reject_age, stats.reject_count)):
             samples = min(MAX_STORED_RUNS, stats.reject_count) * share
             control.reject_ages[method].add(stats.reject_age * samples, now, samples)
         histogram = control.timeout_histograms[method]
-        if len(stats.patiences) == len(histogram) and all(isfinite(p) and 0 <= p < 1e6 for p in stats.patiences) \
+        if len(stats.timeouts) == len(histogram) and all(isfinite(p) and 0 <= p < 1e6 for p in stats.timeouts) \
                 and (share := usable_weight("patiences")):
-            histogram[:] = [old + share * part for old, part in zip(histogram, stats.patiences, strict=True)]
-    if same_machine and learned.hints and (share := usable_weight("pace of hints", learned.pace, learned.hints)):
+            histogram[:] = [old + share * part for old, part in zip(histogram, stats.timeouts, strict=True)]
+    if same_machine and learned.hint_weight and (
+            share := usable_weight("pace of hints", learned.pace, learned.hint_weight)):
         control.pace.add(learned.pace * share, now, share)
-    if not control.usual_call and usable_weight("usual call", learned.usual_call) > 0.25:
-        control.usual_call = learned.usual_call
+    if not control.usual_call and usable_weight("usual call", learned.typical_call) > 0.25:
+        control.usual_call = learned.typical_call
     if share := usable_weight("limit on calls", learned.limit):
         limit, max_value, min_value = control.call_limit, control.call_limit.max_value, control.call_limit.min_value
         initial = limit.value
         start = share * learned.limit * max(0.01, control.settings.calls_out) + (1 - share) * initial
-        # a stored limit may lower the initial one, since an overload may persist; a higher one is not trusted
+        # a stored limit may lower the initial one, since an overload may persist, but not raise it
         limit.set_bounds(min_value, min(initial, max(min_value, start)))
         limit.set_bounds(min_value, max_value)
     return used
 
 
 def peers_to_ask(view: View, machine: int, have: Collection[str]) -> list[Record]:
-    """Returns the peers that may be asked for learned state: in the same zone, on the same kind of machine, warm, and
-    not in `have`, the peers whose state was received already."""
+    """Returns the peers that may be asked for learned state: in the same zone, on the same kind of machine, and warm.
+
+    `have`: the peers whose state was received already; they are left out.
+    """
     return [record for name, record in sorted(view.others.items())
             if record.belief == Belief.ALIVE and record.status.stage == Stage.SERVING
             and record.status.machine == machine and record.zone == view.me.zone and name not in have]
@@ -199,8 +203,8 @@
 def merge_learned(states: list[LearnedState], machine: int) -> LearnedState | None:
     """Returns the medians of what several peers with the same kind of machine learned; None for fewer than two peers.
 
-    Guards against one peer that is overloaded or sends false values: with two peers the median is the mean, so the
-    lower cost counts half.
+    Guards against a single peer that is overloaded or sends false values: of three costs the median ignores the
+    extreme ones; of two it is the mean, so the lower one counts half.
     """
     comparable = [state for state in states if state.machine == machine]
     if len(comparable) < 2:
@@ -210,18 +214,19 @@
         rows = [state.methods[name] for state in comparable
                 if name in state.methods and state.methods[name].runs > 0]
         if len(rows) >= 2:
-            methods[name] = MethodStats(*(median(getattr(row, field) for row in rows)
-                                    for field in ("cost", "runs", "off", "ended", "ends")))
-    # the limit on calls is each instance's own: the overload of a peer is no reason for a lower limit here
-    return LearnedState(machine, 0.0, median(state.usual_call for state in comparable), 0.0, 0.0, methods)
+            methods[name] = MethodStats(*(
+                median(getattr(row, field) for row in rows)
+                for field in ("cost", "runs", "off_core_time", "reject_age", "reject_count")))
+    # the limit on calls is not taken from peers: the overload of a peer is no reason for a lower limit here
+    return LearnedState(machine, 0.0, median(state.typical_call for state in comparable), 0.0, 0.0, methods)
 
 
 class RestartGuard:
     """Detects RPCs with an idempotency key that an earlier process, whose key table is lost, may have run.
 
-    A retry that reaches this process within the method's window after its start may belong to an RPC that the earlier
-    process ran; this process cannot know, so the retry is not run. A first attempt is run, since no attempt preceded
-    it. So is a retry whose first attempt reached this process and was rejected by it.
+    A retry that reaches this process within the method's window after the start of the process may belong to an RPC
+    that the earlier process ran; this process cannot know, so the retry is not run. A first attempt is run, since no
+    attempt preceded it. So is a retry whose first attempt reached this process and was rejected by it.
     """
 
     def __init__(self, started_at: int) -> None:
@@ -233,9 +238,9 @@
 
         `received_at`: arrival of the attempt at this machine, by the clock of `started_at`.
 
-        >>> hold = Method(MethodKind.TOKENED, 1.0, 800_000, 2_000_000, window=8_000_000)
-        >>> doubt = RestartGuard(1_000_000)
-        >>> [doubt.may_have_run(hold, *case) for case in (
+        >>> hold = Method(MethodKind.KEYED, 1.0, 800_000, 2_000_000, window=8_000_000)
+        >>> guard = RestartGuard(1_000_000)
+        >>> [guard.may_have_run(hold, *case) for case in (
         ...     ("a", False, 2_000_000), ("b", True, 2_000_000), ("a", True, 2_100_000), ("b", True, 9_000_001))]
         [False, True, False, False]
         """
@@ -245,5 +250,5 @@
             return key not in self.seen_keys
         self.seen_keys[key] = None
         if len(self.seen_keys) > MAX_REMEMBERED_KEYS:
-            self.seen_keys.popitem(last=False)  # a retry with a forgotten key counts as possibly run
+            self.seen_keys.popitem(last=False)  # a retry with a forgotten key may have run
         return False
--- a/hollystage/decisions/stall_detector.py
+++ b/hollystage/decisions/stall_detector.py
@@ -1,12 +1,14 @@
-"""Detects that this process itself was suspended, so that delays it observed meanwhile are not blamed on others."""
+"""Detects that this process itself was suspended, so that its own delay is not attributed to others."""
 from __future__ import annotations
 
 
 class StallDetector:
-    """Detects late timers. What a late process observed of others may be its own delay. Times in microseconds.
+    """Detects late timers: a delay of others that this process observed meanwhile may be its own.
 
-    >>> stalls = StallDetector(2_000)
-    >>> stalls.on_timer(0, 50_000), stalls.on_timer(51_500, 50_000), stalls.on_timer(200_000, 50_000)
+    All times are in microseconds.
+
+    >>> detector = StallDetector(tolerance=2_000)
+    >>> detector.on_timer(0, 50_000), detector.on_timer(51_500, 50_000), detector.on_timer(200_000, 50_000)
     (0, 0, 98500)
     """
 
