--- a/hollystage/decisions/calls/pools.py
+++ b/hollystage/decisions/calls/pools.py
@@ -189,7 +189,8 @@
         self.pooling = pooling
         self.cores = SlotAllocator(pooling.pools, pooling.reserve.running, now)
         self.calls = SlotAllocator(pooling.pools, pooling.reserve.calls, now)
-        self.retry_budgets = [RetryBudget(pool.retry_ratio, pool.min_retries_per_s, now=now) for pool in pooling.pools]
+        self.retry_budgets = [RetryBudget(pool.retry_ratio, pool.min_retries_per_s, now=now)
+                              for pool in pooling.pools]
         self.cheapest = CheapestMethods()
         self.limits: list[Limit | None] = [make_limit(pool.limit_policy, max(1.0, calls / 2), 1.0, max(1.0, calls))
                                            if pool.limit_policy else None for pool in pooling.pools]
@@ -217,7 +218,8 @@
                 if new_limit is not None and old_limit is not None:
                     new_limit.value = old_limit.value
                     new_limit.set_bounds(1.0, max(1.0, new_limit.value * 2))
-        self.cores.reserve_usage, self.calls.reserve_usage = previous.cores.reserve_usage, previous.calls.reserve_usage
+        self.cores.reserve_usage, self.calls.reserve_usage = (
+            previous.cores.reserve_usage, previous.calls.reserve_usage)
         self.cheapest, self.max_in_progress = previous.cheapest, previous.max_in_progress
 
     def heir(self, name: str, known: Sequence[str]) -> int:
@@ -264,7 +266,8 @@
 
     def pool_ref(self, method: int) -> PoolRef:
         """Returns a reference to the pool of a method; methods without a pool belong to the last one."""
-        return self.pool_refs[self.pooling.pool_of_method[method] if method < len(self.pooling.pool_of_method) else -1]
+        return self.pool_refs[
+            self.pooling.pool_of_method[method] if method < len(self.pooling.pool_of_method) else -1]
 
     def is_cheap(self, method: int) -> bool:
         """Returns whether the method may use the reserve."""
--- a/hollystage/decisions/comeback/ramp.py
+++ b/hollystage/decisions/comeback/ramp.py
@@ -72,8 +72,8 @@
             self.calls_at_step = calls
         elif calls > self.calls_at_step:
             # without calls there is no evidence that the dependency can serve the present share
-            self.share = min(1.0, self.share * GROWTH_FACTOR)
-            self.next_step_at = now + max(MIN_STEP_TIME, int(CALLS_PER_STEP * typical_call))
+            self.share, self.next_step_at = (
+                min(1.0, self.share * GROWTH_FACTOR), now + max(MIN_STEP_TIME, int(CALLS_PER_STEP * typical_call)))
             self.steps += 1
             self.calls_at_step = calls
         return self.share
@@ -139,7 +139,7 @@
             return CallBounds(share, False)
         if view is not self.view:
             self.view, self.fleet = view, summarize(view)
-        # with more instances than configured, the shares would add up to more than the dependency is sized for
+        # with more instances than configured, their shares would add up to more than the dependency is sized for
         scale = min(1.0, self.configured_instances / max(1, self.fleet.living))
         return CallBounds(share * scale, self.fleet.free_share >= MIN_FREE_SHARE)
 
--- a/hollystage/decisions/comeback/recovery.py
+++ b/hollystage/decisions/comeback/recovery.py
@@ -79,7 +79,7 @@
     cost: float = 0.0  # time on the cores
     runs: float = 0.0  # weight of `cost` and `off_core_time`
     off_core_time: float = 0.0
-    reject_age: float = 0.0  # age of an RPC when another instance rejected its first attempt
+    reject_age: float = 0.0  # age of first attempts at rejection, here and probably elsewhere
     reject_count: float = 0.0  # weight of `reject_age`
     timeouts: tuple[float, ...] = ()  # histogram of the callers' timeouts
 
@@ -122,8 +122,8 @@
 def machine_fingerprint(settings: Settings) -> int:
     """Returns a 32-bit checksum of the settings on which the cost of an RPC depends."""
     from zlib import crc32
-    fields = f"{settings.cores} {settings.memory:.0f} {settings.run_factor} {settings.criticality_per_work}"
-    return crc32(fields.encode())
+    return crc32(
+        f"{settings.cores} {settings.memory:.0f} {settings.run_factor} {settings.criticality_per_work}".encode())
 
 
 def export_learned(control: LearningControl, names: list[str], now: int) -> LearnedState:
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -65,13 +65,14 @@
 
 
 def learned_values(control):
-    """Returns every value that can be restored at a start, by kind."""
+    """Returns every value of a decision module that can be restored, by kind."""
     now = 1_000_000
-    return {"costs": [control.run_times[m].read(now) / max(1e-9, control.run_times[m].count) for m in control.settings.methods],
-            "times off the cores": [control.off_core_times[m].read(now) for m in control.settings.methods],
+    methods = control.settings.methods
+    return {"costs": [control.run_times[m].read(now) / max(1e-9, control.run_times[m].count) for m in methods],
+            "times off the cores": [control.off_core_times[m].read(now) for m in methods],
             "pace of hints": control.pace.read(now),
-            "ages of first tries elsewhere": [control.reject_ages[m].read(now) for m in control.settings.methods],
-            "patiences": [list(control.timeout_histograms[m]) for m in control.settings.methods],
+            "ages of first tries elsewhere": [control.reject_ages[m].read(now) for m in methods],
+            "patiences": [list(control.timeout_histograms[m]) for m in methods],
             "usual call": control.usual_call, "limit on calls": control.call_limit.value}
 
 
@@ -92,8 +93,9 @@
 @pytest.mark.parametrize("kind", [kind for kind, aging in BELIEF_KINDS.items() if not aging.half_life])
 def test_grants_to_an_earlier_boot_are_void_and_not_part_of_a_snapshot(kind):
     assert weight(kind, 0.0) == 0.0 and kind not in MONOTONIC
-    assert LearnedState.__struct_fields__ == ("machine", "limit", "usual_call", "pace", "hints", "methods")
-    assert MethodStats.__struct_fields__ == ("cost", "runs", "off", "ended", "ends", "patiences")
+    assert LearnedState.__struct_fields__ == ("machine", "limit", "typical_call", "pace", "hint_weight", "methods")
+    assert MethodStats.__struct_fields__ == (
+        "cost", "runs", "off_core_time", "reject_age", "reject_count", "timeouts")
 
 
 def test_an_older_cost_weighs_less_and_own_measurements_outweigh_it():
@@ -102,7 +104,7 @@
         control = module()
         restore_learned(control, NAMES, LEARNED, age_s, 1_000_000)
         weights.append(control.run_times[LOOK].count)
-        control.run_times[LOOK].add(10_000.0 * 40, 1_000_000, 40)  # the cost is a fifth of the stored one now
+        control.run_times[LOOK].add(10_000.0 * 40, 1_000_000, 40)  # a fifth of the stored cost
         assert control.run_times[LOOK].read(1_000_000) / control.run_times[LOOK].count <= 18_000
     assert weights == sorted(weights, reverse=True) and weights[0] <= 10 and weights[2] == pytest.approx(5)
 
@@ -121,11 +123,13 @@
 
 
 @pytest.mark.parametrize("stats", [
-    MethodStats(math.nan, 5), MethodStats(-1.0, 5), MethodStats(math.inf, 5), MethodStats(1e12, 5), MethodStats(1.0, math.inf),
-    MethodStats(50_000.0, 5, patiences=(1.0,)), MethodStats(50_000.0, 5, patiences=(math.nan,) * 64)])
+    MethodStats(math.nan, 5), MethodStats(-1.0, 5), MethodStats(math.inf, 5), MethodStats(1e12, 5),
+    MethodStats(1.0, math.inf), MethodStats(50_000.0, 5, timeouts=(1.0,)),
+    MethodStats(50_000.0, 5, timeouts=(math.nan,) * 64)])
 def test_invalid_stored_values_are_not_restored(stats):
     control = module()
-    restore_learned(control, NAMES, LearnedState(machine_fingerprint(control.settings), math.nan, -1.0, math.inf, 1.0, {"lookup": stats}), 0.0, 0)
+    restore_learned(control, NAMES, LearnedState(
+        machine_fingerprint(control.settings), math.nan, -1.0, math.inf, 1.0, {"lookup": stats}), 0.0, 0)
     control.tick({}, 1_100_000)
     assert all(math.isfinite(value) for value in learned_values(control)["costs"]) \
         and math.isfinite(control.call_limit.value)
@@ -145,15 +149,15 @@
     def peer(name, zone="z", machine=7, **options):
         record = member(name, **options)
         return msgspec.structs.replace(record, zone=zone,
-                                       digest=msgspec.structs.replace(record.status, machine=machine))
+                                       status=msgspec.structs.replace(record.status, machine=machine))
     fleet = view(peer("a"), peer("b"), peer("far", zone="y"), peer("other", machine=8),
                  peer("cold", stage=Stage.COLD), peer("lost", belief=Belief.LOST),
-                 peer("doubted", belief=Belief.SUSPECT))
+                 peer("suspect", belief=Belief.SUSPECT))
     assert [record.name for record in peers_to_ask(fleet, 7, {})] == ["a", "b"]
     assert [record.name for record in peers_to_ask(fleet, 7, {"a": LEARNED})] == ["b"]
 
 
-# Stored state: damage is detected and reported in one line
+# Stored state: each kind of damage is detected and reported in one line
 
 def write_snapshot(path, written_ms=1_000_000, name="a"):
     folder = StateFolder(str(path), name)
@@ -226,7 +230,7 @@
 
 @pytest.mark.parametrize("capacity", [0.5, 1.0])
 def test_more_than_nine_in_ten_promised_times_are_kept_even_at_half_the_assumed_capacity(capacity):
-    """Callers return at the promised time to an instance whose throughput is `capacity` times what it assumes."""
+    """Callers retry at their promised time at an instance whose throughput is `capacity` times what it assumes."""
     calendar, rng, now, waiting, kept, broken = RetryCalendar(1_000_000), random.Random(3), 0, [], 0, 0
     available = 0.0
     for step in range(3_000):
@@ -250,7 +254,8 @@
             elif delay := calendar.promise(caller, 0, now, now + 800_000):
                 waiting.append((now + delay, caller))
     assert kept > 100 and kept / (kept + broken) > 0.9
-    assert len(calendar.slots) < 200 and len(calendar.promises) < 300 and calendar.promised_share >= MIN_PROMISED_SHARE
+    assert len(calendar.slots) < 200 and len(calendar.promises) < 300 \
+        and calendar.promised_share >= MIN_PROMISED_SHARE
 
 
 def test_a_promise_is_valid_only_for_its_caller_method_and_time():
@@ -266,7 +271,7 @@
 
 def test_an_rpc_at_its_promised_time_precedes_others_and_has_the_first_latency_class():
     control = module(cold=False)
-    assert control.calendar is None  # off unless configured, so that recorded traces stay valid
+    assert control.calendar is None  # off by default, so that recorded traces stay valid
     control = Control(make_settings([LOOK, HOLD], cores=1, calls_out=8.0, promises=True), 1, 0)
     control.calendar.promises[7, 1] = 50_000
     expected, other = (Rpc(HOLD, caller, None, 10.0, 2_000_000, 0, False) for caller in (7, 8))
@@ -329,7 +334,7 @@
 @pytest.mark.parametrize("count", [12, 300, 1_000])
 def test_simultaneous_starts_stay_within_the_rate_of_the_fleet(operation, count):
     delays = sorted(StartJitter(seed).delay(operation, count) for seed in range(count))
-    # in any tenth of a second at most twice the rate, plus a few
+    # within any 0.1 s at most twice the rate, plus a few
     for start in range(0, delays[-1], 50_000):
         assert sum(start <= delay < start + 100_000 for delay in delays) <= 0.2 * FLEET_RATES[operation] + 12
     assert delays[-1] <= count / FLEET_RATES[operation] * 1e6
@@ -337,19 +342,19 @@
 
 @pytest.mark.parametrize("expected, max_streams", [(0, None), (200, 60)])
 def test_first_syncs_of_many_members_that_start_at_once_are_spread(expected, max_streams):
-    """150 of 200 members restart at the same moment; the streams of the whole fleet are counted every 0.1 s."""
-    twin = FleetSimulation(200, 1, Parameters(expected_members=expected), converged=True)
-    names = list(twin.nodes)[:150]
-    twin.apply(Fault(0, "kill", names))
-    twin.run(0.5)
-    twin.apply(Fault(0, "start", names))
+    """150 of 200 members restart at the same time; the new streams of the whole fleet are counted every 0.1 s."""
+    simulation = FleetSimulation(200, 1, Parameters(expected_members=expected), converged=True)
+    names = list(simulation.nodes)[:150]
+    simulation.apply(Fault(0, "kill", names))
+    simulation.run(0.5)
+    simulation.apply(Fault(0, "start", names))
     streams = []
     for _ in range(20):
-        before = twin.streams
-        twin.run(0.1)
-        streams.append(twin.streams - before)
+        before = simulation.streams
+        simulation.run(0.1)
+        streams.append(simulation.streams - before)
     assert max(streams) >= 150 if max_streams is None else max(streams) <= max_streams
-    assert twin.run_until_agreed(15) is not None  # took 26 s before a flood of updates triggered full syncs
+    assert simulation.run_until_agreed(15) is not None  # took 26 s before a flood of updates triggered full syncs
 
 
 # Checkers of a recovery, on histories written by hand
--- a/tests/test_notice.py
+++ b/tests/test_notice.py
@@ -1,4 +1,4 @@
-"""Drain notices that are received late, since the process was suspended, reads its files or starts."""
+"""Drain notices that are received late because the process was suspended, reads its files or is starting."""
 import json
 import os
 import signal
@@ -13,7 +13,7 @@
 from hollystage.decisions.leaving.drain_notice import HEARTBEAT_INTERVAL, DrainNotice
 from hollystage.service.buffers import IncompleteMessageError
 
-GRACE_S = 0.3  # equal to the setting of BudgetSimulation
+GRACE_S = 0.3  # equal to the setting of ServiceHarness
 
 
 @pytest.mark.parametrize("grace", [2_000_000, 300_000, 0])
@@ -21,12 +21,15 @@
     notice = DrainNotice(grace, 0)
     for now in range(0, 10 * HEARTBEAT_INTERVAL, HEARTBEAT_INTERVAL):
         notice.heartbeat(now)
-        assert not notice.in_doubt(now + HEARTBEAT_INTERVAL) and notice.given_at(now + HEARTBEAT_INTERVAL) == now + HEARTBEAT_INTERVAL
+        assert not notice.in_doubt(now + HEARTBEAT_INTERVAL) \
+            and notice.given_at(now + HEARTBEAT_INTERVAL) == now + HEARTBEAT_INTERVAL
     resumed = now + max(grace, 4 * HEARTBEAT_INTERVAL) + HEARTBEAT_INTERVAL
-    notice.heartbeat(resumed)  # the notice may have come just after the last heartbeat, or before its thread ran
+    # the notice may have been given right after the last heartbeat in time, or even before the thread for signals ran
+    notice.heartbeat(resumed)
     assert notice.given_at(resumed) == now - HEARTBEAT_INTERVAL and notice.in_doubt(resumed)
     notice.heartbeat(resumed + HEARTBEAT_INTERVAL)
-    assert notice.given_at(resumed + 3 * HEARTBEAT_INTERVAL) == resumed and not notice.in_doubt(resumed + 3 * HEARTBEAT_INTERVAL)
+    assert notice.given_at(resumed + 3 * HEARTBEAT_INTERVAL) == resumed \
+        and not notice.in_doubt(resumed + 3 * HEARTBEAT_INTERVAL)
     assert notice.given_at(resumed - 5) == resumed - 5  # the clock was set back
     notice.heartbeat(resumed + 10_000_000)
     assert notice.given_at(resumed + 10_000_000) == resumed
@@ -141,7 +144,7 @@
     started = start_process(world)
     blocked = signal.SIGTERM - 1
     wait_until(lambda: int(next(line for line in open(f"/proc/{started.pid}/status") if line.startswith("SigBlk"))
-                      .split()[1], 16) >> blocked & 1)
+                           .split()[1], 16) >> blocked & 1)
     pause(started)
     started.send_signal(signal.SIGTERM)
     time.sleep(GRACE_S + 0.3)
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -1,4 +1,4 @@
-"""Pools, the reserve, retry budgets and limits: alone, in the decision module, in simulations and in a service."""
+"""Pools, the reserve, retry budgets and call limits: alone, in the decision module, in simulations, in a service."""
 import pytest
 from helpers import (
     SECOND,
@@ -22,8 +22,7 @@
 from hollystage.language.sources import MemoryFolder
 from hollystage.plan.read import read
 from hollystage.standins.scenes import SceneSimulation, default_demands
-from hollystage.standins.simulated_instance import Demand
-from hollystage.standins.simulated_instance import idempotent_method as plain
+from hollystage.standins.simulated_instance import Demand, idempotent_method
 
 OK = Outcome.OK
 TWO = (Pool("a", 0.5), Pool("b", 0.5))
@@ -103,7 +102,7 @@
         return pool == 0 or now >= lender_starts
 
     used = simulate_runs(TWO, 4, 8, is_waiting)
-    assert used[1] == pytest.approx(2 * 4 / 8, rel=0.02)  # half the slots as soon as it has work
+    assert used[1] == pytest.approx(2 * 4 / 8, rel=0.02)  # half of the slots as soon as it has RPCs
     assert used[0] == pytest.approx((4 * 4 + 2 * 4) / 8, rel=0.02)
 
 
@@ -136,7 +135,7 @@
         assert [use.in_use for use in allocator.usage] == expected and sum(expected) <= limit
 
 
-# CheapestMethods methods, retry budgets
+# The methods of the reserve, retry budgets
 
 def test_the_cheapest_methods_get_the_reserve_and_keep_it_at_similar_costs():
     cheapest = CheapestMethods()
@@ -162,7 +161,7 @@
     assert 0 < retries <= max_ratio * first_attempts + 10 and budget.refused > 0
 
 
-# ProcessLimits
+# Limits on concurrent calls
 
 def run_limit(policy, result_of, calls=400, value=20.0, **options):
     limit, now = make_limit(policy, value, 1.0, 60.0), 0
@@ -170,7 +169,7 @@
         now += 10_000
         outcome, duration = result_of(number)
         limit.on_call_end(CallResult(outcome, duration, options.get("in_flight", int(limit.value)), 40_000,
-                          options.get("slow_or_lost", False), outcome is not OK, now))
+                                     options.get("slow_or_lost", False), outcome is not OK, now))
         assert 1.0 <= limit.value <= 60.0
     return limit.value
 
@@ -206,7 +205,8 @@
     limit = make_limit(policy, 20.0, 1.0, 60.0)
     for number in range(400):
         lost = number % 10 == 0
-        limit.on_call_end(CallResult(Outcome.TIMEOUT if lost else OK, 40_000, 20, 40_000, lost, False, number * 10_000))
+        limit.on_call_end(CallResult(
+            Outcome.TIMEOUT if lost else OK, 40_000, 20, 40_000, lost, False, number * 10_000))
     assert limit.value >= 20.0
 
 
@@ -266,7 +266,8 @@
     box.control.update_pools(PoolConfig((Pool("reads", 0.25, 0.25), Pool("writes", 0.75)), (0, 1)), box.now)
     for rpc in reads[:3]:
         box.end(rpc)
-    assert sum(ActionKind.START in box.did(rpc) for rpc in reads) == 4 and ActionKind.ABORT not in [a.kind for a in box.actions]
+    assert sum(ActionKind.START in box.did(rpc) for rpc in reads) == 4 \
+        and ActionKind.ABORT not in [action.kind for action in box.actions]
     box.end(reads[3])
     assert sum(ActionKind.START in box.did(rpc) for rpc in reads) == 5
 
@@ -283,12 +284,14 @@
 
 def test_retries_of_calls_are_taken_from_the_pools_retry_budget():
     method = lookup(skip_share=0.3)
-    box = ControlHarness(method, calls_out=20.0, pooling=PoolConfig((Pool("p", 1.0, retry_ratio=0.0, min_retries_per_s=0.1),), (0,)))
+    box = ControlHarness(method, calls_out=20.0, pooling=PoolConfig(
+        (Pool("p", 1.0, retry_ratio=0.0, min_retries_per_s=0.1),), (0,)))
     rpcs = [box.send() for _ in range(2)]
     for rpc in rpcs:
         box.at_call(rpc)
         box.end_call(rpc, Outcome.TIMEOUT)
-    assert [box.did(rpc).count(ActionKind.CALL) for rpc in rpcs] == [2, 1]  # the budget allows one retry in ten seconds
+    # the budget allows one retry in ten seconds
+    assert [box.did(rpc).count(ActionKind.CALL) for rpc in rpcs] == [2, 1]
     assert box.did(rpcs[1])[-1] is ActionKind.SKIP
 
 
@@ -298,71 +301,76 @@
 LIMITED = {"pooling": POOLING, "call_limit": CallLimitConfig("aimd", 1.0, 60.0), "seconds": 45}
 
 
-def served(box, name, start, end):
-    return sum(second.served[name] for number, second in box.seconds.items() if start <= number < end)
+def served(instance, name, start, end):
+    return sum(second.served[name] for number, second in instance.results_by_second.items()
+               if start <= number < end)
 
 
-# results of "dead" vary by 0.02 between seeds: three seeds cannot resolve a difference of 0.01
+# the results of "dead" differ by 0.02 between seeds, so three seeds cannot resolve a difference of 0.01
 @pytest.mark.parametrize("scene, best, seeds", [("slow", 12.0, 3), ("waves", 12.0, 3), ("weak", 10.0, 3),
                                                 ("dead", 4.0, 10)])
 def test_adaptive_limits_match_the_best_fixed_limit_under_overload(scene, best, seeds):
     adaptive = [SceneSimulation(scene, seed, **LIMITED).run().worth(5, 45) for seed in range(1, seeds + 1)]
-    fixed = [SceneSimulation(scene, seed, seconds=45, call_limit=CallLimitConfig("fixed", best, best)).run().worth(5, 45)
-             for seed in range(1, seeds + 1)]
+    fixed = [SceneSimulation(scene, seed, seconds=45, call_limit=CallLimitConfig("fixed", best, best))
+             .run().worth(5, 45) for seed in range(1, seeds + 1)]
     assert sum(adaptive) > 0.985 * sum(fixed)  # benchmarks/pools.py contains the full measurement
 
 
 def test_holds_are_served_while_the_ledger_is_slow_and_lookups_recover_afterwards():
-    box = SceneSimulation("slow", 4, **LIMITED).run()
+    instance = SceneSimulation("slow", 4, **LIMITED).run()
     rate = 34 * 1.2
-    assert served(box, "hold", 15, 33) > 0.9 * rate * 18
-    before, after = served(box, "lookup", 5, 15) / 10, served(box, "lookup", 36, 44) / 8
-    assert after > 0.93 * before  # the limit has grown again, and nothing collapsed a second time
-    assert box.ledger.stats.deaths == 0 and box.ledger.stats.max_in_service <= 60
+    assert served(instance, "hold", 15, 33) > 0.9 * rate * 18
+    before, after = served(instance, "lookup", 5, 15) / 10, served(instance, "lookup", 36, 44) / 8
+    assert after > 0.93 * before  # the limit has grown again, without a second collapse
+    assert instance.ledger.stats.deaths == 0 and instance.ledger.stats.max_in_service <= 60
 
 
 def test_a_slow_pool_does_not_affect_another_pool():
-    demands = [*default_demands(0.9), Demand(plain(skip_share=0.0), "quote", 10, 30_000, makes_calls=True)]
+    demands = [*default_demands(0.9),
+               Demand(idempotent_method(skip_share=0.0), "quote", 10, 30_000, makes_calls=True)]
     pooling = PoolConfig((Pool("lookups", 0.4), Pool("holds", 0.3), Pool("quotes", 0.2)), (0, 1, 2))
-    box = SceneSimulation("one class", 5, demands=demands, **(LIMITED | {"pooling": pooling})).run()
-    rate = box.rpcs_by_method["quote"] / 45
-    assert served(box, "quote", 16, 32) > 0.9 * rate * 16
+    instance = SceneSimulation("one class", 5, demands=demands, **(LIMITED | {"pooling": pooling})).run()
+    rate = instance.rpcs_by_method["quote"] / 45
+    assert served(instance, "quote", 16, 32) > 0.9 * rate * 16
 
 
 def test_limits_do_not_oscillate_with_growing_amplitude_over_ten_slow_periods():
-    scene = SceneSimulation("waves", 6, **(LIMITED | {"seconds": 55}))
+    simulation = SceneSimulation("waves", 6, **(LIMITED | {"seconds": 55}))
     values = []
     for cycle in range(10):
         for sample in (7.4, 9.9):
-            scene.call_at(sample + 5 * cycle - (0 if sample < 9 else 0.1),
-                     lambda: values.append((scene.instance.control.call_limit.value, len(scene.ledger.in_service))))
-    scene.run()
+            simulation.call_at(sample + 5 * cycle - (0 if sample < 9 else 0.1), lambda: values.append(
+                (simulation.instance.control.call_limit.value, len(simulation.ledger.in_service))))
+    simulation.run()
     early, late = values[4:10], values[-6:]
     assert max(v for v, _ in late) <= 1.5 * max(v for v, _ in early) and min(v for v, _ in late) >= 1.0
     assert max(in_flight for _, in_flight in values) <= 60
 
 
 def test_a_flood_of_the_cheapest_method_uses_only_its_pool_and_the_reserve():
-    flood = Demand(plain(skip_share=0.0, criticality=0.5, latency_target=500_000), "view", 900, 8_000)
-    pooling = PoolConfig((Pool("lookups", 0.4), Pool("holds", 0.4), Pool("views", 0.1)), (0, 1, 2), Reserve(0.1, 0.05))
-    box = SceneSimulation("calm", 7, demands=[*default_demands(0.8), flood], **(LIMITED | {"pooling": pooling, "seconds": 25})).run()
+    flood = Demand(idempotent_method(skip_share=0.0, criticality=0.5, latency_target=500_000), "view", 900, 8_000)
+    pooling = PoolConfig((Pool("lookups", 0.4), Pool("holds", 0.4), Pool("views", 0.1)), (0, 1, 2),
+                         Reserve(0.1, 0.05))
+    instance = SceneSimulation("calm", 7, demands=[*default_demands(0.8), flood],
+                               **(LIMITED | {"pooling": pooling, "seconds": 25})).run()
     rate = 34 * 0.8
-    assert served(box, "hold", 5, 24) > 0.8 * rate * 19
+    assert served(instance, "hold", 5, 24) > 0.8 * rate * 19
 
 
 def test_a_drain_under_load_answers_all_rpcs():
-    scene = SceneSimulation("drain", 8, **LIMITED)
-    box = scene.run()
-    assert not [run for run in box.attempts.values() if not run.answered]
-    counts = box.control.state_counts
-    assert box.control.pools.in_progress == [0, 0] and not any(counts[p] for p in ("running", "held", "calling"))
+    simulation = SceneSimulation("drain", 8, **LIMITED)
+    instance = simulation.run()
+    assert not [attempt for attempt in instance.attempts.values() if not attempt.answered]
+    counts = instance.control.state_counts
+    assert instance.control.pools.in_progress == [0, 0] \
+        and not any(counts[state] for state in ("running", "held", "calling"))
 
 
 def test_a_pool_that_was_idle_for_half_a_minute_gets_its_share_for_a_burst():
     demands = default_demands(1.2)
     demands[1].rate_factor = lambda elapsed: 0.0 if elapsed < 30 * SECOND else 1.5
-    box = SceneSimulation("calm", 9, demands=demands, **(LIMITED | {"seconds": 45})).run()
-    assert served(box, "hold", 31, 44) > 0.85 * 34 * 1.2 * 1.5 * 13
+    instance = SceneSimulation("calm", 9, demands=demands, **(LIMITED | {"seconds": 45})).run()
+    assert served(instance, "hold", 31, 44) > 0.85 * 34 * 1.2 * 1.5 * 13
 
 
 # In a service
