--- a/hollystage/decisions/calls/limits.py
+++ b/hollystage/decisions/calls/limits.py
@@ -81,8 +81,9 @@
 
 
 class WindowLimit(BoundedLimit):
-    """Grows by one per round trip of good replies; multiplied by `DECREASE_FACTOR` on a congestion signal, at most
-    once per typical call duration.
+    """Grows by one per round trip of good replies and decreases by a factor on a congestion signal.
+
+    It is multiplied by `DECREASE_FACTOR` at most once per typical call duration.
 
     A refusal, a failure, or a slow or lost reply among many is a congestion signal. The limit also grows while it is
     not fully used: on the users' platform an unused limit costs nothing, and a burst can use it at once.
--- a/hollystage/decisions/calls/pools.py
+++ b/hollystage/decisions/calls/pools.py
@@ -57,6 +57,7 @@
 
     @staticmethod
     def _decayed(slot_time: float, in_use: float, updated_at: int, now: int) -> float:
+        """Returns `slot_time` after its decay since `updated_at`, with the time of the slots used since then."""
         decay = exp((updated_at - now) / USAGE_DECAY_TIME) if now > updated_at else 1.0
         return slot_time * decay + in_use * USAGE_DECAY_TIME * (1 - decay)
 
@@ -131,6 +132,7 @@
         return lowest[2] if lowest[0] < 1 else NO_POOL
 
     def _smallest_tag(self, head_tags: Sequence[int | None], is_eligible: Callable[[int], bool]) -> int:
+        """Returns the eligible pool with the smallest tag; NO_POOL if there is none."""
         best, best_tag = NO_POOL, 0
         for pool in range(len(self.pools)):
             tag = head_tags[pool]
--- a/hollystage/decisions/comeback/ramp.py
+++ b/hollystage/decisions/comeback/ramp.py
@@ -12,7 +12,7 @@
 
 MASS_START_SHARE = 0.25  # share of starting and cold instances from which on a start counts as a mass start
 INITIAL_SHARE = 0.1  # share of its calls with which a cold instance starts
-GROWTH_FACTOR, DECREASE_FACTOR, MIN_SHARE = 1.6, 0.5, 0.03  # of one step; the lower bound of the share
+GROWTH_FACTOR, DECREASE_FACTOR, MIN_SHARE = 1.6, 0.5, 0.03  # factors of one step; lower bound of the share
 MIN_STEP_TIME, CALLS_PER_STEP = 100_000, 2.0  # minimum duration of a step: absolute, and in typical call durations
 MAX_FAILED_SHARE = 0.3  # share of slow, lost and refused replies above which the share of calls decreases
 INITIAL_BACKOFF, MAX_BACKOFF = 500_000, 8_000_000  # pause after a decrease; doubles with each decrease
--- a/hollystage/decisions/comeback/recovery.py
+++ b/hollystage/decisions/comeback/recovery.py
@@ -74,7 +74,10 @@
 
 
 class MethodStats(msgspec.Struct, frozen=True, array_like=True):
-    """Learned statistics of one method: means in microseconds, and their sample weights."""
+    """Learned statistics of one method: means in microseconds, and their sample weights.
+
+    Encoded as an array: the order, types and defaults of the fields must not change.
+    """
 
     cost: float = 0.0  # time on the cores
     runs: float = 0.0  # weight of `cost` and `off_core_time`
@@ -87,7 +90,7 @@
 class LearnedState(msgspec.Struct, frozen=True, array_like=True):
     """Learned state of one instance.
 
-    The names do not leave the process: the stored format is an array.
+    Stored and sent to peers as an array: the order, types and defaults of the fields must not change.
     """
 
     machine: int = 0  # fingerprint of the kind of machine
