--- a/hollystage/fleet/agent.py
+++ b/hollystage/fleet/agent.py
@@ -49,9 +49,10 @@
 from .sockets import STREAM_TIMEOUT_S, FramedStream, PeerSockets, StreamError
 
 DATAGRAM_BATCH = 64  # datagrams processed before due work is checked
-POLL_INTERVAL_US = 50_000  # between updates of the published status; upper bound of the wait for timers set by other threads
+POLL_INTERVAL_US = 50_000  # between updates of the published status; also limits the wait for a datagram
 SESSION_LIFETIME_US = 600_000_000  # after this time the process takes a new session number
-RESEND_BUFFER, MAX_STREAMS = 64, 4  # datagrams kept for a resend under another session number; concurrent inbound streams
+RESEND_BUFFER = 64  # sent datagrams kept for a resend under the session number that a challenge gives
+MAX_STREAMS = 4  # concurrent inbound streams
 BIND_RETRY_S = 1.0  # between attempts to bind the address
 MAX_CHALLENGES_PER_S = 200.0  # bounds the replies that replayed datagrams can provoke
 FOREVER = 1 << 62  # a time that is never reached
@@ -90,8 +91,8 @@
     def __init__(self, name: str, zone: str, bind: str, advertise: str, configured_peers: list[str], key: bytes,
                  cluster: str, parameters: Parameters, seed: int, boot: int, read_status: Callable[[], MemberStatus],
                  save_boot: Callable[[int], None], clock: Callable[[], int], counters: CounterSink, log: Any) -> None:
-        self.sockets, self.codec, self.clock, self.read_status = PeerSockets(bind), Codec(key, cluster), clock, read_status
-        self.save_boot, self.boot = save_boot, boot
+        self.sockets, self.codec, self.clock = PeerSockets(bind), Codec(key, cluster), clock
+        self.read_status, self.save_boot, self.boot = read_status, save_boot, boot
         self.counters, self.log, self.bind = counters, log, bind
         now = clock()
         me = Record(name, zone, advertise, boot, secrets.randbits(62))
@@ -100,13 +101,14 @@
         self.lock = threading.Lock()
         self.view: View = self.members.view(now)
         self.handler: MessageHandler | None = None  # set if the plan has budgets
-        self.fetch_providers: dict[str, Callable[[], bytes]] = {}  # functions that supply what peers may fetch, by name
+        self.fetch_providers: dict[str, Callable[[], bytes]] = {}  # data that peers may fetch, by name
         self.outbox: list[tuple[str, bytes]] = []  # filled under the lock, sent without it
-        self.recently_sent: OrderedDict[int, tuple[str, Message, list[Update]]] = OrderedDict()  # by envelope counter, for resends
+        # datagrams by envelope counter, for resends
+        self.recently_sent: OrderedDict[int, tuple[str, Message, list[Update]]] = OrderedDict()
         self.sync_queue: Queue[str] = Queue(8)
         self.stream_slots = threading.BoundedSemaphore(MAX_STREAMS)
         self.challenge_limiter = RateLimiter(MAX_CHALLENGES_PER_S, now)
-        # other threads set timers too: a longer wait for them would be taken for a stall of the process
+        # Other threads set timers too. A timer that fires later than this would be taken for a stall of the process.
         self.poll_interval = min(POLL_INTERVAL_US, parameters.ack_timeout // 4)
         self.polled_at = now - POLL_INTERVAL_US
         self.sockets_open, self.stopped = threading.Event(), False
@@ -204,13 +206,13 @@
                 continue
             self.sockets_open.set()
             if self.stopped:
-                self.links.close_listener()
+                self.sockets.close_listener()
             return
 
     def _process_datagram(self, data: bytes, now: int) -> None:
         """Counts a datagram and handles it if it is well-formed, authentic and not replayed.
 
-        A datagram that names another session of this process is answered with a challenge, at a bounded rate.
+        A datagram that names a wrong session number is answered with a challenge, at a bounded rate.
         """
         envelope, verdict = self._decode_and_verify(data, MAX_DATAGRAM_BYTES)
         if envelope is None:
@@ -226,7 +228,8 @@
                 if rejected is not None:
                     self.replay_guard.learn_session(rejected[0], envelope.session)
                     self.outbox.append((rejected[0], self._pack(*rejected)))
-            case SyncRequest() | SyncResponse() | SyncPush() | TableRequest() | TableReply() | FetchRequest() | FetchReply():
+            case (SyncRequest() | SyncResponse() | SyncPush() | TableRequest() | TableReply() | FetchRequest()
+                  | FetchReply()):
                 self.counters.add("fleet.refused.misplaced")
             case Ping() | Ack() | PingRequest() | Nack():
                 self.members.receive(envelope.sender, envelope.message, envelope.updates, now)
@@ -241,7 +244,7 @@
             self._enqueue(address, message, [])
 
     def _enqueue(self, address: str, message: Message, updates: list[Update]) -> None:
-        """Enqueues a datagram and keeps it for a while: the receiver may answer that its session is another."""
+        """Enqueues a datagram, and keeps the message in case the receiver answers with a challenge."""
         self.outbox.append((address, self._pack(address, message, updates)))
         self.recently_sent[self.replay_guard.counter] = address, message, updates
         if len(self.recently_sent) > RESEND_BUFFER:
@@ -264,10 +267,12 @@
             self.counters.add(f"fleet.refused.{verdict.value}")
         return envelope, verdict
 
-    def _pack(self, address: str, message: Message, updates: list[Update], receiver_session: int | None = None) -> bytes:
+    def _pack(self, address: str, message: Message, updates: list[Update],
+              receiver_session: int | None = None) -> bytes:
+        guard = self.replay_guard
         return self.codec.pack(Envelope(
-            self.replay_guard.session, self.replay_guard.session_of(address) if receiver_session is None else receiver_session,
-            self.replay_guard.next_counter(), self.members.me, message, updates))
+            guard.session, guard.session_of(address) if receiver_session is None else receiver_session,
+            guard.next_counter(), self.members.me, message, updates))
 
     def _run_due(self, now: int) -> None:
         """Does the work that is due: the published status, the session number, and all timers."""
@@ -408,7 +413,7 @@
     def _read_envelope(self, stream: FramedStream, challenge: bool) -> Envelope | None:
         """The next valid envelope of a stream, or None.
 
-        With `challenge`, a sender that names another session is answered with a challenge and may send once more.
+        With `challenge`, a sender that names a wrong session number gets a challenge and may send once more.
         """
         while True:
             data = stream.read(MAX_FRAME_BYTES)
--- a/hollystage/fleet/ask.py
+++ b/hollystage/fleet/ask.py
@@ -25,13 +25,15 @@
     codec, birth, session = Codec(key, cluster), secrets.randbits(62), 1 + secrets.randbits(60)
     sender = Record(ASKER_NAME, "", "0.0.0.0:0", 0, birth)
     try:
-        stream = FramedStream(socket.create_connection(parse_address(address), 2.0), time.monotonic() + STREAM_TIMEOUT_S)
+        sock = socket.create_connection(parse_address(address), 2.0)
+        stream = FramedStream(sock, time.monotonic() + STREAM_TIMEOUT_S)
     except (OSError, ValueError, OverflowError) as error:
         raise QueryError(f"cannot connect ({error})") from error
     receiver_session = 0
     try:
         for counter in (1, 2):  # the first request names no session; the challenge gives the one for the second
-            stream.send(codec.pack(Envelope(session, receiver_session, counter, sender, TableRequest(table, request))))
+            message = TableRequest(table, request)
+            stream.send(codec.pack(Envelope(session, receiver_session, counter, sender, message)))
             reply = codec.unpack(stream.read(MAX_FRAME_BYTES), MAX_FRAME_BYTES)
             if isinstance(reply, DecodeFailure) or reply.receiver_session != session:
                 raise QueryError("the reply is not authentic")
--- a/hollystage/fleet/budget_endpoint.py
+++ b/hollystage/fleet/budget_endpoint.py
@@ -23,8 +23,9 @@
 class BudgetEndpoint:
     """Handles the lease and budget messages of this process.
 
-    `steps` gives the units that may be used, by budget and over time; `uses` what the decision module uses of them.
-    `clock` (microseconds) is read for each message: an answer under a lease that has just ended must not be sent.
+    `steps`: the units that may be used, by budget, as a step function of time. `uses`: the units that the decision
+    module uses, by budget. `clock` (microseconds) is read for each message: an answer under a lease that has just
+    ended must not be sent.
     """
 
     def __init__(self, participant: Participant, clock: Callable[[], int]) -> None:
@@ -58,7 +59,7 @@
         return self._resolve_addresses(outgoing)
 
     def leave(self, members: Members) -> list[tuple[str, CoordinationMessage]]:
-        """Releases the allocator's lease; units stay in use until the process ends. Returns messages to be sent."""
+        """Releases the allocator's lease; returns messages to be sent. Units stay in use until the process ends."""
         self.addresses = {name: record.address for name, record in members.records.items()}
         return self._resolve_addresses(self.participant.leave(self.clock()))
 
@@ -67,30 +68,34 @@
             self.participant.claimant.report_usage(name, usage)
 
     def _publish(self, now: int) -> None:
-        self.steps = {name: allocation.steps(now) for name, allocation in self.participant.claimant.allocations.items()}
+        allocations = self.participant.claimant.allocations
+        self.steps = {name: allocation.steps(now) for name, allocation in allocations.items()}
 
     def _resolve_addresses(self, messages: list[Outgoing]) -> list[tuple[str, CoordinationMessage]]:
-        """Replaces names by addresses; drops messages to processes of unknown address, which are repeated later."""
+        """Replaces names by addresses. Drops messages to processes of unknown address; they are sent again later."""
         return [(self.addresses[recipient], payload) for recipient, payload in messages
                 if recipient in self.addresses]
 
     def table(self, name: str) -> dict[str, Any] | None:
         """The table `budgets` or, on a voter, `leases`, for an operator; None for any other name."""
         now, participant = self.clock(), self.participant
+        claimant, voter_table = participant.claimant, participant.voter_table
         if name == "budgets":
-            return {"me": participant.me.name, "divider": participant.claimant.allocator_name, "epoch": participant.claimant.epoch,
+            return {"me": participant.me.name, "divider": claimant.allocator_name, "epoch": claimant.epoch,
                     "divides": participant.allocator is not None,
-                    "budgets": [{"name": name, "part": allocation.own(now), "usable": allocation.usable(now),
-                                 "held": allocation.committed(now), "using": allocation.in_use, "lent": allocation.lent_units(now),
-                                 "borrowed": allocation.borrowed_units(now), "floor": allocation.floor(now),
+                    "budgets": [{"name": budget, "part": allocation.own(now), "usable": allocation.usable(now),
+                                 "held": allocation.committed(now), "using": allocation.in_use,
+                                 "lent": allocation.lent_units(now), "borrowed": allocation.borrowed_units(now),
+                                 "floor": allocation.floor(now),
                                  "left_ms": max(0, allocation.granted_until - now) // 1000}
-                                for name, allocation in participant.claimant.allocations.items()],
-                    "counts": participant.claimant.counts}
-        if name == "leases" and participant.voter_table is not None:
+                                for budget, allocation in claimant.allocations.items()],
+                    "counts": claimant.counts}
+        if name == "leases" and voter_table is not None:
             return {"me": participant.me.name, "leases": [
-                {"name": name, "holder": holder.name if (holder := voter.holder(now)) is not None else None,
+                {"name": lease, "holder": holder.name if (holder := voter.holder(now)) is not None else None,
                  "number": voter.granted[0] if voter.granted is not None else None,
-                 "left_ms": max(0, voter.granted_until - now) // 1000} for name, voter in participant.voter_table.voters.items()]}
+                 "left_ms": max(0, voter.granted_until - now) // 1000}
+                for lease, voter in voter_table.voters.items()]}
         return None
 
     def metrics(self) -> dict[str, float]:
--- a/hollystage/fleet/codec.py
+++ b/hollystage/fleet/codec.py
@@ -27,13 +27,13 @@
 
 
 class Challenge(msgspec.Struct, frozen=True, array_like=True, tag=20):
-    """Reply to the envelope `counter`, which named another session; the envelope of the reply gives the right one."""
+    """Reply to the envelope `counter`, which named a wrong session; the reply's own envelope gives the right one."""
 
     counter: int
 
 
 class TableRequest(msgspec.Struct, frozen=True, array_like=True, tag=21):
-    """An operator's request to show something, or to do something; `table` names it."""
+    """An operator's request for the table `table`, or for an action of that name."""
 
     table: str = "members"
     request: bytes = b""
@@ -46,21 +46,22 @@
 
 
 class FetchRequest(msgspec.Struct, frozen=True, array_like=True, tag=23):
-    """Request for the data that the receiver provides under a name."""
+    """A peer's request for the data that the receiver provides under a name."""
 
     name: str
 
 
 class FetchReply(msgspec.Struct, frozen=True, array_like=True, tag=24):
-    """Reply to a `FetchRequest`: the data in an encoding of its own, empty if there is none."""
+    """Reply to a `FetchRequest`: the data, empty if there is none. The provider defines its encoding."""
 
     body: bytes
 
 
 # messages for the agent's message handler, which exists only if the plan has budgets
 CoordinationMessage = (leases.Prepare | leases.Propose | leases.Release | leases.Reply
-         | budgets.Claim | budgets.Grants | budgets.Redirect | budgets.BorrowRequest | budgets.Loan)
-Message = Ping | Ack | PingRequest | Nack | SyncRequest | SyncResponse | SyncPush | Challenge | TableRequest | TableReply | FetchRequest | FetchReply | CoordinationMessage
+                       | budgets.Claim | budgets.Grants | budgets.Redirect | budgets.BorrowRequest | budgets.Loan)
+Message = (Ping | Ack | PingRequest | Nack | SyncRequest | SyncResponse | SyncPush | Challenge | TableRequest
+           | TableReply | FetchRequest | FetchReply | CoordinationMessage)
 
 
 class Envelope(msgspec.Struct, frozen=True, array_like=True):
@@ -79,8 +80,9 @@
 
     def is_valid(self) -> bool:
         """Whether all fields are within their bounds."""
-        return (0 <= self.counter < 1 << 62 and self.sender.is_valid() and all(
-            update.record.is_valid() and len(update.reporter) <= 64 for update in self.updates) and _is_valid(self.message))
+        return (0 <= self.counter < 1 << 62 and self.sender.is_valid()
+                and all(update.record.is_valid() and len(update.reporter) <= 64 for update in self.updates)
+                and _is_valid(self.message))
 
 
 def _is_valid(message: Message) -> bool:
@@ -103,7 +105,7 @@
 
 
 class DecodeFailure(Enum):
-    """Why received bytes are not an envelope of this cluster; they are counted and otherwise ignored."""
+    """Why received bytes are not an envelope of this cluster. Such bytes are counted and otherwise ignored."""
 
     FOREIGN = "foreign"
     VERSION = "version"
--- a/hollystage/fleet/sockets.py
+++ b/hollystage/fleet/sockets.py
@@ -1,4 +1,4 @@
-"""Sockets of the fleet: datagrams and streams on one address. Each socket has one owner; streams have deadlines."""
+"""Sockets of the fleet: datagrams and streams on one address. Each socket has one owner, each stream a deadline."""
 from __future__ import annotations
 
 import contextlib
@@ -95,7 +95,7 @@
 
 
 class FramedStream:
-    """A stream of frames, each a length of 4 bytes and the data. Whoever opens it closes it.
+    """A stream of frames, each of which is a length of 4 bytes and the data. The code that opens it closes it.
 
     All reads and writes must end before `deadline`, in seconds of `time.monotonic`.
     """
--- a/hollystage/store/boots.py
+++ b/hollystage/store/boots.py
@@ -13,9 +13,9 @@
 
 
 def next_boot(folder: StateFolder | None, clock_ms: int, log: Any) -> int:
-    """The clock or the stored number plus one, whichever is greater; stored if there is a folder.
+    """The greater of the clock and the stored number plus one. It is stored if there is a folder.
 
-    A failing store is logged only, and does not prevent the start.
+    A failing store is only logged and does not prevent the start.
     """
     boot = max(1, clock_ms)
     if folder is None:
@@ -31,7 +31,7 @@
 
 
 def write_boot(folder: StateFolder, boot: int, log: Any) -> None:
-    """Stores the boot number; a failure is logged only."""
+    """Stores the boot number; a failure is only logged."""
     try:
         folder.write("boot", FORMAT_VERSION, str(boot).encode())
     except StateError as error:
--- a/hollystage/store/memory.py
+++ b/hollystage/store/memory.py
@@ -1,6 +1,6 @@
 """A store without a disk, for tests and for programs that embed an instance and save its state themselves.
 
-It keeps the same contract as `StateFolder`; `tests/test_contracts.py` checks both.
+It fulfils the same contract as `StateFolder`; `tests/test_contracts.py` checks both.
 """
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class MemoryStore:
-    """State of the instance `name` in memory, by kind. It lives as long as the embedding program keeps it."""
+    """State of the instance `name` in memory, by kind. It is lost when the embedding program drops this object."""
 
     def __init__(self, name: str) -> None:
         self.name = name
--- a/hollystage/store/snapshot.py
+++ b/hollystage/store/snapshot.py
@@ -1,4 +1,7 @@
-"""The snapshot file: the statistics that an instance learned, for use after a restart."""
+"""The snapshot file: the statistics that an instance learned, for use after a restart.
+
+The state folder writes it atomically and checks its hash, format version and owner; this module checks its age.
+"""
 from __future__ import annotations
 
 import msgspec
@@ -37,19 +40,19 @@
 def read(folder: StateFolder, now_ms: int) -> tuple[Snapshot | None, float | None, str]:
     """The snapshot, its age in seconds, and a warning to be logged.
 
-    The snapshot is None if there is none or it cannot be used. The age is None if the snapshot is from the future of
-    the clock. The warning is empty if all is well.
+    The snapshot is None if there is none or it cannot be read. The age is None if there is no snapshot, or if it was
+    written later than the clock's time. The warning is empty if there is nothing to report.
     """
     try:
         body = folder.read("snapshot", FORMAT_VERSION)
     except StateError as error:
-        return None, None, f"{error}; begins as if nothing had been learned"
+        return None, None, f"{error}; starting without learned statistics"
     if body is None:
         return None, None, ""
     try:
         found = msgspec.msgpack.decode(body, type=Snapshot)
     except msgspec.DecodeError as error:
-        return None, None, f"state: the snapshot cannot be read: {error}; begins as if nothing had been learned"
+        return None, None, f"state: the snapshot cannot be read: {error}; starting without learned statistics"
     age_s = age(found.written_ms, now_ms)
     if age_s is None:
         return found, None, "state: the snapshot was written later than the clock's time; its statistics are not used"
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -1,4 +1,4 @@
-"""Contracts of transports and stores: each is checked against every implementation, and against broken ones."""
+"""Contracts of transports and stores: every implementation fulfils them, and broken implementations are detected."""
 import errno
 import os
 import random
@@ -29,9 +29,9 @@
 
 
 class Transport(Protocol):
-    """What a transport guarantees: messages arrive in order, without duplicates, and reliably.
+    """A transport with its guarantees: whether messages arrive in order, without duplicates, and all of them.
 
-    `max_size` is the largest message in bytes.
+    `max_size` is the size of the largest message in bytes.
     """
 
     ordered: bool
@@ -40,19 +40,19 @@
     max_size: int
 
     def transfer(self, messages: list[bytes]) -> list[bytes]:
-        """Sends the messages one after the other and returns those that arrive within a bounded time."""
+        """Sends the messages one after the other; returns those that arrive within a bounded time."""
 
     def close(self) -> None: ...
 
 
 def check_transport(transport, seed=1):
-    """Checks that messages arrive complete or not at all, as guaranteed, and never above the size limit."""
+    """Checks the guarantees, that each message arrives complete or not at all, and that none exceeds the limit."""
     rng = random.Random(seed)
     sizes = [0, 1, 2, 255, 256, 900, min(transport.max_size, 60_000)]
     messages = [bytes([n]) + rng.randbytes(size) for n, size in enumerate(sizes)][:-1]
     messages += [bytes([40 + n]) + rng.randbytes(rng.randrange(1, 900)) for n in range(20)]
     received = transport.transfer(messages)
-    assert all(message in messages for message in received), "a message arrived that was not sent in this version"
+    assert all(message in messages for message in received), "a message arrived that was not sent, or was altered"
     if transport.no_duplicates:
         assert len(set(received)) == len(received), "a message arrived twice"
     if transport.ordered:
@@ -68,7 +68,7 @@
 
 
 class DatagramTransport:
-    """Datagrams of `PeerSockets`. They guarantee nothing, but none is lost on the loopback interface."""
+    """Datagrams of `PeerSockets`. They guarantee nothing; the loopback interface loses and reorders none."""
 
     ordered, no_duplicates, reliable, max_size = True, True, True, 2_047
 
@@ -76,12 +76,12 @@
         self.near, self.far = (PeerSockets(unused_address(host)) for host in ("127.0.9.1", "127.0.9.2"))
         self.near.open()
         self.far.open()
-        self.to = "{}:{}".format(*self.far.bind)
+        self.far_address = "{}:{}".format(*self.far.bind)
 
     def transfer(self, messages):
         received = []
         for message in messages:
-            self.near.send(self.to, message)
+            self.near.send(self.far_address, message)
             data = self.far.receive(1.0)
             # a datagram that fills the whole read buffer may have been truncated
             if data is not None and len(data) <= self.max_size:
@@ -100,7 +100,7 @@
     max_size = 4_096
 
     def transfer(self, messages):
-        sender = self.near.connect(self.to)
+        sender = self.near.connect(self.far_address)
         receiver = FramedStream(self.far.accept(), time.monotonic() + 3.0)
         received = []
         try:
@@ -133,7 +133,8 @@
                 continue
             for delay, corrupt in self.net.deliveries(("a", "b"), len(message), self.clock.now / 1e6):
                 if not corrupt:  # the receiver drops corrupt messages, whose keyed hash is wrong
-                    self.clock.call_at(self.clock.now + 300 + int(delay * 1e6), lambda one=message: received.append(one))
+                    self.clock.call_at(self.clock.now + 300 + int(delay * 1e6),
+                                       lambda arrived=message: received.append(arrived))
             self.clock.run(self.clock.now + 1_000)
         self.clock.run(self.clock.now + 2_000_000)
         return received
@@ -152,8 +153,8 @@
         self.ordered, self.no_duplicates, self.reliable = ordered, no_duplicates, reliable
         address = unused_address("127.0.9.3")
         spec = folder / "wiring.json"
-        doors = [Forward(address, "far", self.to, "", True)]
-        spec.write_bytes(msgspec.json.encode(SwitchboardConfig(doors, {"127.0.9.1": "near"}, 3)))
+        forwards = [Forward(address, "far", self.far_address, "", True)]
+        spec.write_bytes(msgspec.json.encode(SwitchboardConfig(forwards, {"127.0.9.1": "near"}, 3)))
         self.process = subprocess.Popen([sys.executable, "-m", "hollystage.standins.fleet.switchboard", str(spec)],
                                         stdin=subprocess.PIPE, stdout=subprocess.PIPE)
         assert self.process.stdout.readline() == b"ready\n"
@@ -161,11 +162,11 @@
             self.process.stdin.write(msgspec.json.encode(Command(fault)) + b"\n")
         self.process.stdin.flush()
         time.sleep(0.2)
-        self.to = address
+        self.far_address = address
 
     def transfer(self, messages):
         for message in messages:
-            self.near.send(self.to, message)
+            self.near.send(self.far_address, message)
             time.sleep(0.002)
         received, timeouts = [], 0
         while timeouts < 4 and len(received) < 200:
@@ -293,7 +294,7 @@
 
 
 def limit_writes(monkeypatch, capacity, number):
-    """Lets the disk take `capacity` more bytes; the last write is partial, later ones fail with errno `number`."""
+    """Limits the disk to `capacity` more bytes: the last write is partial, later ones fail with errno `number`."""
     remaining, write = [capacity], os.write
 
     def limited_write(file, data):
@@ -320,8 +321,8 @@
 
 
 WRITER = """import sys
-from hollystage.store.folder import Folder
-store = Folder(sys.argv[1], "a")
+from hollystage.store.folder import StateFolder
+store = StateFolder(sys.argv[1], "a")
 n = 0
 while True:
     n += 1
@@ -331,7 +332,7 @@
 
 
 def kill_while_writing(path, after):
-    """Kills a writing process after some confirmed writes; the last confirmed number and the stored one."""
+    """Kills a process after `after` confirmed writes; returns the last confirmed number and the stored one."""
     process = subprocess.Popen([sys.executable, "-c", WRITER, str(path)], stdout=subprocess.PIPE, text=True)
     confirmed = 0
     while confirmed < after:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -87,8 +87,7 @@
     budgets.Claim(1, 2, [budgets.ClaimRow("calls", 5, 4, 1, 3, 6, 1.5)]),
     budgets.Grants(1, 2, [budgets.Grant("calls", 4)]), budgets.Redirect(1, "b"), budgets.BorrowRequest(1, "calls", 2),
     budgets.Loan(1, "calls", 2, 500), Ping(1, "b"), Ack(2, "b"), PingRequest(3, "b", "127.0.0.1:1"), Nack(4),
-    Challenge(5), SyncRequest([1] * 64),
-    SyncResponse([1], [record("c")]), SyncPush([record("c")])]
+    Challenge(5), SyncRequest([1] * 64), SyncResponse([1], [record("c")]), SyncPush([record("c")])]
 
 
 @pytest.mark.parametrize("message", MESSAGES)
@@ -114,7 +113,8 @@
 
 def test_fields_out_of_bounds_are_rejected():
     codec = Codec(KEY, "test")
-    for message in (leases.Prepare(-1, PROCESS, 2), budgets.Claim(1, 2, [budgets.ClaimRow("calls", -5, 4, 1, 3, 6, 1.5)]),
+    for message in (leases.Prepare(-1, PROCESS, 2),
+                    budgets.Claim(1, 2, [budgets.ClaimRow("calls", -5, 4, 1, 3, 6, 1.5)]),
                     budgets.Loan(1, "calls", 2, -1)):
         assert codec.unpack(codec.pack(Envelope(1, 2, 3, record(), message))) is DecodeFailure.GARBAGE
 
@@ -132,7 +132,7 @@
 def test_largest_datagram_fits_the_size_limit(agents):
     codec, longest = Codec(KEY, "c" * 64), "x" * 64
     largest = record(longest, zone=longest, address="255.255.255.255:65535", boot=1 << 61, birth=1 << 61,
-                     digest=MemberStatus(1 << 61, 4, 1 << 31, (1 << 61,) * 8, 1 << 39, bytes(64)))
+                     status=MemberStatus(1 << 61, 4, 1 << 31, (1 << 61,) * 8, 1 << 39, bytes(64)))
     members = agents[0].members
     members.me, updates = largest, [
         Update(msgspec.structs.replace(largest, name=f"{n:064}"), longest) for n in range(9)]
@@ -146,18 +146,18 @@
 
 
 def test_replay_guard_accepts_each_envelope_of_a_current_session_once():
-    doors = ReplayGuard(10)
-    assert doors.admit(1, 1, 10) is Verdict.GOOD and doors.admit(1, 1, 10) is Verdict.REPLAYED
-    assert doors.admit(2, 1, 10) is Verdict.GOOD and doors.admit(1, 2, 9) is Verdict.UNBOUND
-    assert doors.admit(1, 3, 0) is Verdict.UNBOUND
-    doors.rotate_session(11)
-    assert doors.admit(1, 1, 10) is Verdict.REPLAYED and doors.admit(1, 5, 11) is Verdict.GOOD
-    doors.rotate_session(12)
-    assert doors.admit(1, 6, 10) is Verdict.UNBOUND
-    for birth in range(doors.max_entries + 50):
-        doors.admit(birth, 1, 12)
-        doors.learn_session(f"10.0.0.1:{birth}", 5)
-    assert len(doors.windows) <= doors.max_entries and len(doors.peer_sessions) <= doors.max_entries
+    guard = ReplayGuard(10)
+    assert guard.admit(1, 1, 10) is Verdict.GOOD and guard.admit(1, 1, 10) is Verdict.REPLAYED
+    assert guard.admit(2, 1, 10) is Verdict.GOOD and guard.admit(1, 2, 9) is Verdict.UNBOUND
+    assert guard.admit(1, 3, 0) is Verdict.UNBOUND
+    guard.rotate_session(11)
+    assert guard.admit(1, 1, 10) is Verdict.REPLAYED and guard.admit(1, 5, 11) is Verdict.GOOD
+    guard.rotate_session(12)
+    assert guard.admit(1, 6, 10) is Verdict.UNBOUND
+    for birth in range(guard.max_entries + 50):
+        guard.admit(birth, 1, 12)
+        guard.learn_session(f"10.0.0.1:{birth}", 5)
+    assert len(guard.windows) <= guard.max_entries and len(guard.peer_sessions) <= guard.max_entries
 
 
 # Agents
@@ -196,10 +196,15 @@
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     captured = []
     send = agents[1].sockets.send
-    agents[1].sockets.send = lambda address, data: (captured.append(data) if address == target.bind else None) or send(
-        address, data)
+
+    def capture(address, data):
+        if address == target.bind:
+            captured.append(data)
+        return send(address, data)
+
+    agents[1].sockets.send = capture
     wait_until(lambda: len(captured) > 5)
-    # authentic data that an earlier process might have sent: it names no current session of the target
+    # authentic datagrams that a process may have sent earlier: they name no current session of the target
     outdated = [codec.pack(Envelope(5, session, counter, record("a2", boot=1 << 60, birth=9), Ping(1), [
         Update(record("ghost"), "a1"), Update(record("a1", boot=1 << 59), "a2")]))
         for counter, session in enumerate((0, 1, 1 << 60, -1))]
@@ -239,7 +244,7 @@
                 sock.shutdown(socket.SHUT_WR)
                 assert sock.recv(100) == b""
             except OSError as error:
-                assert not isinstance(error, TimeoutError)  # a close at any moment is right; no answer is not
+                assert not isinstance(error, TimeoutError)  # the stream may be closed at any point, but not left open
     unexpected = Codec(KEY, "test").pack(Envelope(1, 0, 1, record("x"), SyncPush([record("ghost")])))
     with socket.create_connection(target.sockets.bind) as sock:
         stream = FramedStream(sock, time.monotonic() + 5)
@@ -298,7 +303,7 @@
 instance.start()
 print(*[m for m in sorted(sys.modules) if m.startswith(('hollystage.fleet', 'hollystage.store', 'hollystage.standins',
       'hollystage.decisions.membership', 'hollystage.decisions.leases', 'hollystage.decisions.budgets',
-      'hollystage.service.peers', 'hollystage.service.allotment'))], threading.active_count())
+      'hollystage.service.peers', 'hollystage.service.budget_limiter'))], threading.active_count())
 import os; sys.stdout.flush(); os._exit(0)
 """
 
@@ -364,7 +369,7 @@
     peers = Peers(config, driver, None, Counters(), LogLines())
     assert peers.agent is None and peers.folder is None and peers.tasks() == []
     assert [line[0] for line in LogLines.lines] == ["serving goes on without stored state",
-                                               "serving goes on without peers"]
+                                                    "serving goes on without peers"]
     assert "is locked by other, process" in LogLines.lines[0][1] and "set its mode to 600" in LogLines.lines[1][1]
     locked.close()
 
