--- a/hollystage/control.py
+++ b/hollystage/control.py
@@ -94,7 +94,7 @@
             self.run_times[rpc.method].add(max(1, spent - rpc.off_core_time), now, outcome == Outcome.OK)
             self.off_core_times[rpc.method].add(rpc.off_core_time, now)
             if rpc.work_hint and outcome == Outcome.OK:
-                self.pace.add(max(1, spent - rpc.off_core_time), now, rpc.work_hint)
+                self.work_per_hint.add(max(1, spent - rpc.off_core_time), now, rpc.work_hint)
         self._resume(rpc, outcome)
 
     def at_call(self, rpc: Rpc, now: int) -> None:
@@ -106,19 +106,19 @@
     def call_finished(self, rpc: Rpc, outcome: Outcome, spent: int, now: int) -> None:
         """A downstream call ended after `spent` microseconds."""
         self.now = now
-        ok, usual = outcome == Outcome.OK, self.usual_call
+        ok, usual = outcome == Outcome.OK, self.typical_call
         odd = spent > SLOW_CALL_FACTOR * usual > 0 if ok else outcome in REPLY_LOST
         self.odd_replies.add(odd, now, outcome != Outcome.CANCELLED)
         if ok:
             # rises slowly and falls quickly, to estimate the duration of a call when nothing is wrong
-            self.usual_call += (spent - usual) * ((0.02 if spent > usual else 0.2) if usual else 1)
+            self.typical_call += (spent - usual) * ((0.02 if spent > usual else 0.2) if usual else 1)
         elif outcome == Outcome.TIMEOUT:
             heappush(self.lingering_calls, now + self.settings.linger)
         bad = not self._few_odd_replies() if odd else outcome not in (Outcome.OK, Outcome.CANCELLED)
         # the limit keeps all instances together from overloading the dependency, whatever makes calls slow
         calls = self.state_counts[CALLING] + len(self.lingering_calls)
         self.call_limit.on_call_end(
-            result := CallResult(outcome, spent, calls, self.usual_call, odd, bad, now))
+            result := CallResult(outcome, spent, calls, self.typical_call, odd, bad, now))
         if self.pools is not None:
             self.pools.on_call_end(rpc, result)
         self._resume(rpc, outcome)
--- a/hollystage/decisions/comeback/ramp.py
+++ b/hollystage/decisions/comeback/ramp.py
@@ -106,13 +106,13 @@
     """What a RampController sets in the decision module, which still makes all decisions itself."""
 
     call_share: float  # share of the maximum number of calls
-    room_elsewhere: bool  # whether a retry at another instance is likely to succeed
+    capacity_elsewhere: bool  # whether a retry at another instance is likely to succeed
 
 
 class BoundedControl(Protocol):
     """The part of the decision module that a RampController sets."""
 
-    room_elsewhere: bool
+    capacity_elsewhere: bool
 
     @property
     def call_limit(self) -> Any: ...
@@ -147,4 +147,4 @@
         """Sets the bounds in the decision module."""
         max_calls = self.max_calls * bounds.call_share
         control.call_limit.set_bounds(min(self.min_calls, max_calls), max_calls)
-        control.room_elsewhere = bounds.room_elsewhere
+        control.capacity_elsewhere = bounds.capacity_elsewhere
--- a/hollystage/decisions/comeback/recovery.py
+++ b/hollystage/decisions/comeback/recovery.py
@@ -34,7 +34,7 @@
     fallback: str
 
 
-BELIEF_KINDS: dict[str, Aging] = {
+LEARNED_KINDS: dict[str, Aging] = {
     "costs": Aging(600, "a generous default, then own measurements; not used on another kind of machine"),
     "times off the cores": Aging(600, "zero until calls are made"),
     "pace of hints": Aging(600, "one"),
@@ -59,7 +59,7 @@
     >>> [weight("costs", age_s) for age_s in (0, 600, 1e6, None)], weight("leases held", 1)
     ([1.0, 0.5, 0.0, 0.0], 0.0)
     """
-    half_life = BELIEF_KINDS[kind].half_life
+    half_life = LEARNED_KINDS[kind].half_life
     if age_s is None or half_life <= 0:
         return 0.0
     remaining = float(0.5 ** (max(0.0, age_s) / half_life))
@@ -96,7 +96,7 @@
     machine: int = 0  # fingerprint of the kind of machine
     limit: float = 0.0  # limit on calls, relative to the instance's share of calls
     typical_call: float = 0.0  # duration in microseconds
-    pace: float = 0.0  # mean ratio of the time on the cores to the work that callers hinted
+    work_per_hint: float = 0.0  # mean ratio of the time on the cores to the work that callers hinted
     hint_weight: float = 0.0  # weight of `pace`
     methods: dict[str, MethodStats] = {}
 
@@ -104,7 +104,7 @@
 class LearningControl(Protocol):
     """The part of the decision module that holds learned state: decaying sums and the limit on calls."""
 
-    usual_call: float
+    typical_call: float
 
     @property
     def settings(self) -> Settings: ...
@@ -117,7 +117,7 @@
     @property
     def timeout_histograms(self) -> Mapping[Method, list[float]]: ...
     @property
-    def pace(self) -> Any: ...
+    def work_per_hint(self) -> Any: ...
     @property
     def call_limit(self) -> Any: ...
 
@@ -139,9 +139,9 @@
         (cost, runs), (off_core_time, _), (reject_age, reject_count) = (mean(table[method]) for table in tables)
         methods[name] = MethodStats(cost, runs, off_core_time, reject_age, reject_count,
                                     tuple(round(part, 2) for part in control.timeout_histograms[method]))
-    pace, hint_weight = mean(control.pace)
+    pace, hint_weight = mean(control.work_per_hint)
     share = max(0.01, control.settings.calls_out)
-    return LearnedState(machine_fingerprint(control.settings), control.call_limit.value / share, control.usual_call,
+    return LearnedState(machine_fingerprint(control.settings), control.call_limit.value / share, control.typical_call,
                         pace, hint_weight, methods)
 
 
@@ -179,10 +179,10 @@
                 and (share := usable_weight("patiences")):
             histogram[:] = [old + share * part for old, part in zip(histogram, stats.timeouts, strict=True)]
     if same_machine and learned.hint_weight and (
-            share := usable_weight("pace of hints", learned.pace, learned.hint_weight)):
-        control.pace.add(learned.pace * share, now, share)
-    if not control.usual_call and usable_weight("usual call", learned.typical_call) > 0.25:
-        control.usual_call = learned.typical_call
+            share := usable_weight("pace of hints", learned.work_per_hint, learned.hint_weight)):
+        control.work_per_hint.add(learned.work_per_hint * share, now, share)
+    if not control.typical_call and usable_weight("usual call", learned.typical_call) > 0.25:
+        control.typical_call = learned.typical_call
     if share := usable_weight("limit on calls", learned.limit):
         limit, max_value, min_value = control.call_limit, control.call_limit.max_value, control.call_limit.min_value
         initial = limit.value
--- a/hollystage/policy/estimates.py
+++ b/hollystage/policy/estimates.py
@@ -17,7 +17,7 @@
 
     def _time_for_call(self, rpc: Rpc) -> float:
         """Time left for one more call: up to the target, less half of the run and one usual call."""
-        return min(rpc.target, rpc.due) - self.now - self._expected_work(rpc) / 2 - self.usual_call
+        return min(rpc.target, rpc.due) - self.now - self._expected_work(rpc) / 2 - self.typical_call
 
     def _few_odd_replies(self) -> bool:
         """Whether few replies are slow or lost.
@@ -69,7 +69,7 @@
         """
         peers_overloaded = (self.likely_retries.mean(self.now) > RETRIES_UNDER_PRESSURE
                             or self.redirects.mean(self.now) > HIGH_REJECT_SHARE)
-        return self._rejects_more_than(HIGH_REJECT_SHARE) and peers_overloaded and not self.room_elsewhere
+        return self._rejects_more_than(HIGH_REJECT_SHARE) and peers_overloaded and not self.capacity_elsewhere
 
     def _within_quota(self, rpc: Rpc) -> bool:
         """Whether the RPC is most likely within its tenant's quota and so has its full value.
@@ -124,7 +124,7 @@
             factor *= (IN_QUOTA_COST_FACTOR if self._within_quota(rpc)
                        else STRICT_COST_FACTOR if factor >= 1 else 1)
         call_wait = (0 if rpc.method.skip_share
-                     else self.off_core_times[rpc.method].mean(self.now, 0, 1) - self.usual_call)
+                     else self.off_core_times[rpc.method].mean(self.now, 0, 1) - self.typical_call)
         return self.now + wait + factor * self._expected_work(rpc) + max(0, call_wait) > min(
             rpc.target, rpc.due)
 
@@ -136,7 +136,7 @@
 
     def _expected_work(self, rpc: Rpc) -> float:
         """Expected time of this RPC on the cores: its work hint at the measured pace, else the usual cost."""
-        return (rpc.work_hint * self.pace.mean(self.now, 1.0, 1e6) if rpc.work_hint
+        return (rpc.work_hint * self.work_per_hint.mean(self.now, 1.0, 1e6) if rpc.work_hint
                 else self._usual_cost(rpc.method))
 
     def _expected_wait(self, rpc: Rpc) -> float:
--- a/hollystage/policy/lifecycle.py
+++ b/hollystage/policy/lifecycle.py
@@ -86,9 +86,9 @@
             # a call that is unlikely to end before the target may take until the due time: a shorter timeout
             # would only waste the work
             half_work = int(self._expected_work(rpc) / 2)
-            fits_target = rpc.target - self.now - half_work > SLOW_CALL_FACTOR * self.usual_call
+            fits_target = rpc.target - self.now - half_work > SLOW_CALL_FACTOR * self.typical_call
             timeout = (rpc.target if fits_target else rpc.due) - self.now - half_work
-            loss_timeout = (int(LOST_CALL_FACTOR * self.usual_call)
+            loss_timeout = (int(LOST_CALL_FACTOR * self.typical_call)
                             if idempotent and self._few_odd_replies() else 0)
             event = yield Action(ActionKind.CALL, rpc, max(
                 TICK, min(timeout, loss_timeout or timeout, self.pacer.max_call_duration)))
--- a/hollystage/policy/queues.py
+++ b/hollystage/policy/queues.py
@@ -30,14 +30,14 @@
         self.method_numbers = {method: number for number, method in enumerate(settings.methods)}
         self.pools: Pools | None = None
         self.calendar = RetryCalendar(settings.max_retry_after) if settings.promises else None
-        self.room_elsewhere = False  # whether peers report spare capacity
+        self.capacity_elsewhere = False  # whether peers report spare capacity
         # queues for the cores and for downstream calls: one for each pool, then one more with the cheapest
         # work of all pools, whose RPCs are also in the queue of their pool
         self.run_queues: list[RpcQueue] = [[]]
         self.call_queues: list[RpcQueue] = [[]]
         self.live_keys: set[Rpc] = set()  # RPCs whose idempotency key is remembered
         self.state_counts = dict.fromkeys((QUEUED, RUNNING, CALLING, WAITING, JOINED, DONE), 0)
-        self.memory = self.other_runnable = self.cpu_busy = self.usual_call = 0.0
+        self.memory = self.other_runnable = self.cpu_busy = self.typical_call = 0.0
         self.run_limit = float(settings.cores)
         self.clients: dict[tuple[Tenant | None, Method], Client] = {}
         # by method: times on the cores, ages at which first attempts were rejected, times off the cores
@@ -69,7 +69,7 @@
         min_limit = min(max_limit, config.min_limit or share * MIN_LIMIT_SHARE)
         self.call_limit = make_limit(config.policy, min(max_limit, share / 2), min_limit, max_limit, now)
         self.stall_detector = StallDetector(STALL_THRESHOLD)
-        self.pace = DecayingSum(now)  # time on the cores for each microsecond of hinted work
+        self.work_per_hint = DecayingSum(now)  # time on the cores for each microsecond of hinted work
         self.lingering_calls: list[int] = []  # a heap of the times until which abandoned calls still count
         self.pacer = Pacer(now, 0.0, settings.call_averaging_span)
 
--- a/hollystage/service/recovery_manager.py
+++ b/hollystage/service/recovery_manager.py
@@ -85,12 +85,12 @@
 
     def tick(self, control: Control, calls: int, now: int) -> None:
         """Updates the bounds of the calls and the pressure level; `calls`: downstream calls that ended so far."""
-        bounds = self.ramp_controller.bounds(self.view, calls, control.odd_replies.mean(now), control.usual_call, now)
+        bounds = self.ramp_controller.bounds(self.view, calls, control.odd_replies.mean(now), control.typical_call, now)
         if self.call_limiter is None:
             self.ramp_controller.apply(control, bounds)
         else:
             # the allocation replaces the share by the configured number of instances, which could be smaller
-            control.room_elsewhere = bounds.room_elsewhere
+            control.capacity_elsewhere = bounds.capacity_elsewhere
             ramp = self.ramp_controller.ramp
             self.limit_expires_at = self.call_limiter.tick(control, ramp.share if ramp is not None else 1.0, now)
         self.pressure_level = self.pressure.update(control.rejections.mean(now), now)
--- a/hollystage/standins/fleet/recovery_check.py
+++ b/hollystage/standins/fleet/recovery_check.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from ...decisions.comeback.recovery import BELIEF_KINDS
+from ...decisions.comeback.recovery import LEARNED_KINDS
 from .check import IDEMPOTENCY_WINDOW_S, SECOND, Violation, find_disturbances
 from .history import Line
 
@@ -53,8 +53,8 @@
                     continue
                 age_s = (t - written) / SECOND + clock_offset[who] - written_offset[who]
                 for kind, weight in used.items():
-                    max_weight = 0.5 ** (max(0.0, age_s - AGE_TOLERANCE_S) / BELIEF_KINDS[kind].half_life) \
-                        if BELIEF_KINDS[kind].half_life else 0.0
+                    max_weight = 0.5 ** (max(0.0, age_s - AGE_TOLERANCE_S) / LEARNED_KINDS[kind].half_life) \
+                        if LEARNED_KINDS[kind].half_life else 0.0
                     if weight > max_weight + 0.01 or age_s < -5 - AGE_TOLERANCE_S:
                         yield Violation("no stale belief", who, t,
                                         f"{kind} has weight {weight:.2f} at an age of {age_s:.0f} s")
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -15,7 +15,7 @@
     summarize,
 )
 from hollystage.decisions.comeback.recovery import (
-    BELIEF_KINDS,
+    LEARNED_KINDS,
     MONOTONIC,
     LearnedState,
     MethodStats,
@@ -58,8 +58,8 @@
         control.off_core_times[method].add(3_000.0 * 20, 1_000_000, 20)
         control.reject_ages[method].add(400_000.0 * 20, 1_000_000, 20)
         control.timeout_histograms[method][0] += 7.0
-    control.pace.add(2.0, 1_000_000, 1)
-    control.usual_call = 12_000.0
+    control.work_per_hint.add(2.0, 1_000_000, 1)
+    control.typical_call = 12_000.0
     control.call_limit.set_bounds(0.1, 3.0)
     return control
 
@@ -70,27 +70,27 @@
     methods = control.settings.methods
     return {"costs": [control.run_times[m].read(now) / max(1e-9, control.run_times[m].count) for m in methods],
             "times off the cores": [control.off_core_times[m].read(now) for m in methods],
-            "pace of hints": control.pace.read(now),
+            "pace of hints": control.work_per_hint.read(now),
             "ages of first tries elsewhere": [control.reject_ages[m].read(now) for m in methods],
             "patiences": [list(control.timeout_histograms[m]) for m in methods],
-            "usual call": control.usual_call, "limit on calls": control.call_limit.value}
+            "usual call": control.typical_call, "limit on calls": control.call_limit.value}
 
 
 LEARNED = export_learned(trained_module(), NAMES, 1_000_000)
 
 
-@pytest.mark.parametrize("kind", [kind for kind, aging in BELIEF_KINDS.items() if aging.half_life])
+@pytest.mark.parametrize("kind", [kind for kind, aging in LEARNED_KINDS.items() if aging.half_life])
 def test_each_kind_is_restored_when_fresh_and_ignored_when_stale(kind):
     cold, fresh = learned_values(module()), module()
     used = restore_learned(fresh, NAMES, LEARNED, 0.0, 1_000_000)
     assert kind in used and used[kind] == 1.0 and learned_values(fresh)[kind] != cold[kind]
-    for age_s in (BELIEF_KINDS[kind].half_life * 7, 86_400.0 * 7, None):
+    for age_s in (LEARNED_KINDS[kind].half_life * 7, 86_400.0 * 7, None):
         stale = module()
         assert kind not in restore_learned(stale, NAMES, LEARNED, age_s, 1_000_000)
         assert learned_values(stale)[kind] == cold[kind]
 
 
-@pytest.mark.parametrize("kind", [kind for kind, aging in BELIEF_KINDS.items() if not aging.half_life])
+@pytest.mark.parametrize("kind", [kind for kind, aging in LEARNED_KINDS.items() if not aging.half_life])
 def test_grants_to_an_earlier_boot_are_void_and_not_part_of_a_snapshot(kind):
     assert weight(kind, 0.0) == 0.0 and kind not in MONOTONIC
     assert LearnedState.__struct_fields__ == ("machine", "limit", "typical_call", "pace", "hint_weight", "methods")
@@ -133,7 +133,7 @@
     control.tick({}, 1_100_000)
     assert all(math.isfinite(value) for value in learned_values(control)["costs"]) \
         and math.isfinite(control.call_limit.value)
-    assert control.usual_call >= 0 and len(control.timeout_histograms[LOOK]) > 1
+    assert control.typical_call >= 0 and len(control.timeout_histograms[LOOK]) > 1
 
 
 @pytest.mark.parametrize("costs, expected", [
@@ -142,7 +142,7 @@
     states = [LearnedState(7, 0.1, 9.0, 2.0, 1.0, {"hold": MethodStats(cost, 5.0)}) for cost in costs]
     merged = merge_learned([*states, LearnedState(8, methods={"hold": MethodStats(1.0, 5.0)})], 7)
     assert (merged.methods["hold"].cost if merged else None) == expected
-    assert merged is None or (merged.limit, merged.pace) == (0.0, 0.0)
+    assert merged is None or (merged.limit, merged.work_per_hint) == (0.0, 0.0)
 
 
 def test_only_warm_peers_in_the_same_zone_with_the_same_machine_are_asked_once_each():
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -295,7 +295,7 @@
     harness = ControlHarness(lookup(skip_share=skip_share), calls_out=40.0)
     for _ in range(20):
         rpc = harness.send()
-        harness.control.usual_call = 50_000
+        harness.control.typical_call = 50_000
         rpc.off_core_time = 2_200_000  # it waited longer than its target for a call
         harness.now += TICK
         harness.end(rpc)
