--- a/hollystage/standins/fleet/check.py
+++ b/hollystage/standins/fleet/check.py
@@ -108,8 +108,8 @@
     return violations
 
 
-def _check_answers(attempts: dict[str, Line], ends: dict[str, Line], received: set[str], down: FaultIntervals, links: FaultIntervals
-             ) -> Iterable[Violation]:
+def _check_answers(attempts: dict[str, Line], ends: dict[str, Line], received: set[str], down: FaultIntervals,
+                   links: FaultIntervals) -> Iterable[Violation]:
     """Rule 1: no RPC is lost. A missing answer is explained by a link fault, kill or pause of the schedule.
 
     On an overloaded machine an attempt may reach the instance too late: the first message of a connection has a
@@ -137,7 +137,7 @@
 
 
 def _check_effects(attempts: dict[str, Line], ends: dict[str, Line], runs: dict[str, list[Line]], lines: list[Line],
-             across_restarts: bool) -> Iterable[Violation]:
+                   across_restarts: bool) -> Iterable[Violation]:
     """Rule 2: an RPC with an idempotency key runs once per window and instance; what ran is not rejected."""
     by_key: dict[tuple[str, str, int], list[Line]] = defaultdict(list)
     process: dict[str, int] = defaultdict(int)
@@ -159,7 +159,7 @@
 
 
 def _check_drains(attempts: dict[str, Line], runs: dict[str, list[Line]], lines: list[Line], load: Load
-            ) -> Iterable[Violation]:
+                  ) -> Iterable[Violation]:
     """Rule 3: no RPC sent after the drain grace runs, and the process ends in time."""
     terms = [line for line in lines if line["what"] == "signal" and line["number"] == 15]
     for term in terms:
--- a/hollystage/standins/fleet/fleet_simulation.py
+++ b/hollystage/standins/fleet/fleet_simulation.py
@@ -19,7 +19,7 @@
 from .faults import Fault, Network
 
 SECOND = 1_000_000
-DATAGRAM_DELAY_US, STREAM_STEP_US = (200, 800), 2_000  # delay of a datagram (minimum, maximum) and of one step of a sync
+DATAGRAM_DELAY_US, STREAM_STEP_US = (200, 800), 2_000  # minimum and maximum; each step of a sync
 HEADER_BYTES = 90  # bytes of a datagram in addition to its records
 
 
@@ -46,9 +46,11 @@
     at the start. `configured_peer_count`: how many of the first members are configured as peers.
     """
 
-    def __init__(self, count: int, seed: int, parameters: Parameters | None = None, zones: int = 3, configured_peer_count: int = 3,
-                 converged: bool = False, members_class: type[Members] = Members) -> None:
-        self.clock, self.parameters, self.members_class = VirtualClock(SECOND), parameters or Parameters(), members_class
+    def __init__(self, count: int, seed: int, parameters: Parameters | None = None, zones: int = 3,
+                 configured_peer_count: int = 3, converged: bool = False, members_class: type[Members] = Members,
+                 ) -> None:
+        self.clock, self.parameters, self.members_class = (
+            VirtualClock(SECOND), parameters or Parameters(), members_class)
         self.rng, self.network = random.Random(seed), Network(seed + 1)
         self.seed = seed
         self.messages = self.bytes = self.streams = self.stream_bytes = 0
@@ -78,11 +80,12 @@
         birth = self.rng.getrandbits(60)
         me = Record(node.name, node.zone, node.address, self.clock.now // 1000 + node.boot_count, birth, 0, 0,
                     MemberStatus(1, Stage.SERVING))
-        node.members = self.members_class(me, self.configured_peers, self.parameters, self.rng.getrandbits(60), self.clock.now)
+        node.members = self.members_class(me, self.configured_peers, self.parameters, self.rng.getrandbits(60),
+                                          self.clock.now)
         self.process_actions(node)
         return me
 
-    # Diagnostics of schedules
+    # Faults of schedules
 
     def call_at(self, second: float, callback: Callable[[], None]) -> None:
         """Calls `callback` at a second of the simulation."""
@@ -166,7 +169,8 @@
             self.clock.call_at(due, tick)
 
     def _send_datagram(self, node: Node, action: Send) -> None:
-        size = HEADER_BYTES + node.members.me.max_encoded_size() + sum(update.record.max_encoded_size() for update in action.updates)
+        size = HEADER_BYTES + node.members.me.max_encoded_size() + sum(
+            update.record.max_encoded_size() for update in action.updates)
         self.messages += 1
         self.bytes += size
         target = self.node_by_address.get(action.address)
@@ -176,7 +180,7 @@
         for delay, corrupted in self.network.deliveries((node.name, target.name), size, self.clock.now / SECOND):
             if not corrupted:
                 self.clock.call_at(self.clock.now + int(delay * SECOND) + self.rng.randint(*DATAGRAM_DELAY_US),
-                              lambda: self._deliver(target, me, message, updates))
+                                   lambda: self._deliver(target, me, message, updates))
 
     def _deliver(self, node: Node, sender: Record, message: Message, updates: list[Update]) -> None:
         if not node.up:
--- a/hollystage/standins/fleet/member.py
+++ b/hollystage/standins/fleet/member.py
@@ -46,7 +46,8 @@
     """Writes to the history what a start restored, each snapshot written, and each fetch from peers."""
     from ...service.recovery_manager import RecoveryManager
 
-    initialize, write_snapshot, fetch = RecoveryManager.initialize, RecoveryManager._write_snapshot, RecoveryManager._fetch_from_peers
+    initialize, write_snapshot, fetch = (
+        RecoveryManager.initialize, RecoveryManager._write_snapshot, RecoveryManager._fetch_from_peers)
 
     def recorded_initialize(self: RecoveryManager, control: Any, now: int) -> None:
         initialize(self, control, now)
@@ -61,7 +62,8 @@
     def recorded_fetch(self: RecoveryManager, *arguments: Any) -> None:
         fetch(self, *arguments)
         history.write("borrowed", lenders=len(self.fetched), taken=self.counters.read().get("state.borrowed", 0))
-    for name, method in (("begin", recorded_initialize), ("_keep", recorded_write), ("_borrow", recorded_fetch)):
+    for name, method in (("initialize", recorded_initialize), ("_write_snapshot", recorded_write),
+                         ("_fetch_from_peers", recorded_fetch)):
         setattr(RecoveryManager, name, method)
 
 
--- a/hollystage/standins/fleet/party.py
+++ b/hollystage/standins/fleet/party.py
@@ -30,7 +30,8 @@
 SECOND = 1_000_000
 LATE_ANSWER_TIMEOUT_S = 3.0  # how long a client waits after its timeout, to distinguish a late answer from none
 CommandHandlers = dict[str, Callable[..., None]]
-ERROR_WORDS: dict[type[Exception], str] = {IncompleteMessageError: "Broken", HttpError: "Bad"}  # words for these errors in histories
+ERROR_WORDS: dict[type[Exception], str] = {  # names of these errors in histories
+    IncompleteMessageError: "Broken", HttpError: "Bad"}
 
 
 class RecordingInterpreter(SimulatedInterpreter):
@@ -40,15 +41,17 @@
         self.name, self.history = name, history
         super().__init__(**more)
 
-    def on_run_started(self, ident: str, body: bytes) -> None:
-        self.history.write("run", self.name, rpc=ident, body=body.decode("ascii", "replace"))
+    def on_run_started(self, request_id: str, body: bytes) -> None:
+        self.history.write("run", self.name, rpc=request_id, body=body.decode("ascii", "replace"))
 
 
 def start_interpreters(spec: dict[str, Any], history: History) -> CommandHandlers:
     """Starts an interpreter for each member."""
     interpreter_by_name = {
-        name: RecordingInterpreter(name, history, cores=spec["cores"], work_s=spec["work_s"], calling_methods=frozenset(spec["calls"]),
-                     seed=spec["seed"] + index, address=parse_address(address), cold_speed=spec["cold"], warm_up_s=spec["warm_s"])
+        name: RecordingInterpreter(
+            name, history, cores=spec["cores"], work_s=spec["work_s"], calling_methods=frozenset(spec["calls"]),
+            seed=spec["seed"] + index, address=parse_address(address), cold_speed=spec["cold"],
+            warm_up_s=spec["warm_s"])
         for index, (name, address) in enumerate(spec["addresses"].items())}
 
     def reset(name: str) -> None:
@@ -84,7 +87,8 @@
     """Starts the ledgers, and writes their load to the history every 0.1 s."""
     parameters = LedgerParameters(**spec["terms"])
     ledger_by_name = {
-        name: FailingLedger(name, history, parameters=parameters, seed=spec["seed"] + index, address=parse_address(address))
+        name: FailingLedger(name, history, parameters=parameters, seed=spec["seed"] + index,
+                            address=parse_address(address))
         for index, (name, address) in enumerate(spec["addresses"].items())}
 
     def apply_to(action: Callable[[LedgerModel], None], names: list[str]) -> None:
@@ -95,7 +99,7 @@
         for name in names or list(ledger_by_name):
             ledger_by_name[name].failure_share, ledger_by_name[name].failing_class = share, kind
 
-    def watch() -> None:
+    def sample() -> None:
         while True:
             time.sleep(0.1)
             for name, ledger in ledger_by_name.items():
@@ -103,7 +107,7 @@
                 peak, model.stats.max_in_service = model.stats.max_in_service, 0  # maximum since the last sample
                 history.write("load", name, held=len(model.in_service), peak=max(peak, len(model.in_service)),
                               deaths=model.stats.deaths, refused=model.stats.refused)
-    threading.Thread(target=watch, daemon=True).start()
+    threading.Thread(target=sample, daemon=True).start()
     return {"slow": lambda factor, names=(): apply_to(lambda model: model.set_slowdown(factor), names),
             "die": lambda seconds, names=(): apply_to(lambda model: model.crash(int(seconds * SECOND)), names),
             "fail": fail}
@@ -113,7 +117,7 @@
     """Starts the control plane, and writes its list of ready instances to the history when it changes."""
     plane = ControlPlane(parse_address(spec["address"]))
 
-    def watch() -> None:
+    def poll() -> None:
         previous: list[str] = []
         while True:
             time.sleep(0.05)
@@ -121,7 +125,7 @@
             if ready != previous:
                 history.write("listed", names=ready)
                 previous = ready
-    threading.Thread(target=watch, daemon=True).start()
+    threading.Thread(target=poll, daemon=True).start()
     return {}
 
 
@@ -172,7 +176,8 @@
             method = rng.choices(self.spec["methods"], [m["share"] for m in self.spec["methods"]])[0]
             self._perform_rpc(number, method, connections, rng)
 
-    def _perform_rpc(self, number: int, method: dict[str, Any], connections: dict[str, Caller], rng: random.Random) -> None:
+    def _perform_rpc(self, number: int, method: dict[str, Any], connections: dict[str, Caller],
+                     rng: random.Random) -> None:
         with self.lock:
             self.rpc_count += 1
             key = f"{self.history.party}-{self.rpc_count}"
@@ -187,8 +192,8 @@
                 break
             target = required_instance or listed[(first + attempts) % len(listed)]
             attempts += 1
-            outcome, advice, stay = self._attempt(number, method["name"], key if keyed else "", key, target, remaining,
-                                              connections, attempts > 1, at_promised_time)
+            outcome, advice, stay = self._attempt(number, method["name"], key if keyed else "", key, target,
+                                                  remaining, connections, attempts > 1, at_promised_time)
             if outcome in ("ok", "aborted", "wrong"):
                 break
             if outcome == "pushed back":
@@ -211,7 +216,8 @@
                            good=outcome == "ok" and took <= method["target_s"], worth=method["worth"])
 
     def _attempt(self, number: int, method: str, key: str, body: str, target: str, remaining: float,
-             connections: dict[str, Caller], is_retry: bool, at_promised_time: bool) -> tuple[str, float, bool]:
+                 connections: dict[str, Caller], is_retry: bool, at_promised_time: bool) -> tuple[str, float, bool]:
+        """Sends one attempt and waits for its answer; returns the outcome, the retry delay and X-Dont-Retry."""
         request_id = f"{random.getrandbits(64):016x}"
         fields: dict[str, str | None] = {
             "X_Caller": str(number + 1), "X_Timeout_Ms": str(max(1, int(remaining * 1000)))}
@@ -243,7 +249,8 @@
                 pass
             answer = None
         except (OSError, IncompleteMessageError, HttpError) as error:
-            outcome = "crossed" if not is_new and isinstance(error, IncompleteMessageError | ConnectionResetError | BrokenPipeError) \
+            outcome = "crossed" if not is_new and isinstance(
+                error, IncompleteMessageError | ConnectionResetError | BrokenPipeError) \
                 else f"broken {ERROR_WORDS.get(type(error), type(error).__name__)}"
         advice, stay = 0.0, False
         if answer is not None:
@@ -293,7 +300,8 @@
 
 
 STANDINS: dict[str, Callable[[dict[str, Any], History], CommandHandlers]] = {
-    "interpreters": start_interpreters, "ledgers": start_ledgers, "control": start_control_plane, "clients": start_clients}
+    "interpreters": start_interpreters, "ledgers": start_ledgers, "control": start_control_plane,
+    "clients": start_clients}
 
 
 def main() -> None:
@@ -310,7 +318,5 @@
     os._exit(0)
 
 
-
-
 if __name__ == "__main__":
     main()
--- a/hollystage/standins/fleet/recovery_check.py
+++ b/hollystage/standins/fleet/recovery_check.py
@@ -11,12 +11,13 @@
 
 MIN_KEPT_SHARE, MIN_PROMISES = 0.9, 40  # smallest share of kept promises; fewer promises than this are not judged
 AGE_TOLERANCE_S = 4.0  # seconds between the export of a snapshot and its history entry, plus the length of a start
-FULL_SERVICE_SHARE, AVERAGING_SPAN_S = 0.95, 5  # full service: this share of the earlier rate, averaged over this many seconds
+FULL_SERVICE_SHARE, AVERAGING_SPAN_S = 0.95, 5  # full service: share of the earlier rate, averaged over this span
 
 
 def check_recovery(lines: list[Line]) -> list[Violation]:
     """Applies all checks of recovery to the lines of a history."""
-    return [*_check_beliefs(lines), *_check_fetched(lines), *_check_rejections(lines), *_check_promises(lines), *_check_ledger(lines)]
+    return [*_check_beliefs(lines), *_check_fetched(lines), *_check_rejections(lines), *_check_promises(lines),
+            *_check_ledger(lines)]
 
 
 def _check_beliefs(lines: list[Line]) -> Iterable[Violation]:
@@ -143,7 +144,8 @@
         calls += line["what"] == "call" and line["t"] > start
     base = sum(worth[-s] for s in range(1, int(before_s))) / max(1, int(before_s) - 1)
     seconds = (stop - start) // SECOND
-    means = [sum(worth[s + k] for k in range(AVERAGING_SPAN_S)) / AVERAGING_SPAN_S / max(1e-9, base) for s in range(seconds - AVERAGING_SPAN_S)]
+    means = [sum(worth[s + k] for k in range(AVERAGING_SPAN_S)) / AVERAGING_SPAN_S / max(1e-9, base)
+             for s in range(seconds - AVERAGING_SPAN_S)]
     full_at = next((s for s, mean in enumerate(means) if mean >= FULL_SERVICE_SHARE), None)
     returned, served = count_promises(lines)
     open_calls = [line["held"] for line in lines if line["what"] == "load" and line["t"] > start]
--- a/hollystage/standins/fleet/rig.py
+++ b/hollystage/standins/fleet/rig.py
@@ -153,34 +153,46 @@
         Streams are attributed to their sender by port: each member has ports of its own for the control plane and the
         ledgers.
         """
-        forwards = [Forward(self.proxy_address(230, 19999), "control", self.direct_address(230, CONTROL_PORT), "clients")]
+        forwards = [
+            Forward(self.proxy_address(230, 19999), "control", self.direct_address(230, CONTROL_PORT), "clients")]
         for index, (name, n) in enumerate(self.host_numbers.items()):
-            forwards += [Forward(self.proxy_address(n, FLEET_PORT), name, self.direct_address(n, FLEET_PORT), "", True),
-                         Forward(self.proxy_address(n, FLEET_PORT), name, self.direct_address(n, FLEET_PORT)),
-                         Forward(self.proxy_address(n, SERVICE_PORT), name, self.direct_address(n, SERVICE_PORT), "clients"),
-                         Forward(self.proxy_address(n, INTERPRETER_PORT), f"vm-{name}", self.direct_address(n, INTERPRETER_PORT), name),
-                         Forward(self.proxy_address(230, 20000 + index), "control", self.direct_address(230, CONTROL_PORT), name)]
-            forwards += [Forward(self.proxy_address(210 + k, 20000 + index), ledger, self.direct_address(210 + k, LEDGER_PORT), name)
-                         for k, ledger in enumerate(self.ledger_names)]
-        return SwitchboardConfig(forwards, {f"{self.direct_network}.{n}": name for name, n in self.host_numbers.items()}, self.schedule.seed,
-                      self.folder)
+            forwards += [
+                Forward(self.proxy_address(n, FLEET_PORT), name, self.direct_address(n, FLEET_PORT), "", True),
+                Forward(self.proxy_address(n, FLEET_PORT), name, self.direct_address(n, FLEET_PORT)),
+                Forward(self.proxy_address(n, SERVICE_PORT), name, self.direct_address(n, SERVICE_PORT), "clients"),
+                Forward(self.proxy_address(n, INTERPRETER_PORT), f"vm-{name}",
+                        self.direct_address(n, INTERPRETER_PORT), name),
+                Forward(self.proxy_address(230, 20000 + index), "control", self.direct_address(230, CONTROL_PORT),
+                        name)]
+            forwards += [
+                Forward(self.proxy_address(210 + k, 20000 + index), ledger, self.direct_address(210 + k, LEDGER_PORT),
+                        name)
+                for k, ledger in enumerate(self.ledger_names)]
+        return SwitchboardConfig(
+            forwards, {f"{self.direct_network}.{n}": name for name, n in self.host_numbers.items()},
+            self.schedule.seed, self.folder)
 
     def plan(self, name: str) -> str:
         """Returns the plan of a member, in the settings language."""
         n, index, load = self.host_numbers[name], self.names.index(name), self.load
         ledgers = "\n".join(f'ledger("{ledger}", "{self.proxy_address(210 + k, 20000 + index)}")'
                             for k, ledger in enumerate(self.ledger_names))
-        budget = BUDGET_PLAN.format(voters=json.dumps(self.names[:load.voters]), lease=load.lease_ms, whole=load.whole,
-                               floor=load.floor) if load.whole else ""
+        budget = BUDGET_PLAN.format(
+            voters=json.dumps(self.names[:load.voters]), lease=load.lease_ms, whole=load.whole,
+            floor=load.floor) if load.whole else ""
         return PLAN.format(
             linger=load.linger_ms, budget=budget,
-            name=name, seed=f"{self.schedule.seed * 1000 + index + 97 * self.start_counts[name]:x}", stop=load.stop_ms,
-            listen=self.direct_address(n, SERVICE_PORT), vm=self.proxy_address(n, INTERPRETER_PORT), control=self.proxy_address(230, 20000 + index), ledgers=ledgers,
+            name=name, seed=f"{self.schedule.seed * 1000 + index + 97 * self.start_counts[name]:x}",
+            stop=load.stop_ms, listen=self.direct_address(n, SERVICE_PORT),
+            vm=self.proxy_address(n, INTERPRETER_PORT), control=self.proxy_address(230, 20000 + index),
+            ledgers=ledgers,
             memory=load.memory_mb, cores=load.cores * (2 if name in self.replanned else 1), cold=load.cold < 1,
             calls=load.calls_out / len(self.names), cold_from=int(load.cold * 100), warm=int(load.warm_s * 1000),
             grace=load.drain_grace_ms, hold=load.hold_deadline_ms,
-            members=len(self.names), bind=self.direct_address(n, FLEET_PORT), face=self.proxy_address(n, FLEET_PORT), zone=self.zones[name],
-            peers=json.dumps([self.proxy_address(self.host_numbers[peer], FLEET_PORT) for peer in self.names[:3]]), key=self.key_file,
+            members=len(self.names), bind=self.direct_address(n, FLEET_PORT), face=self.proxy_address(n, FLEET_PORT),
+            zone=self.zones[name],
+            peers=json.dumps([self.proxy_address(self.host_numbers[peer], FLEET_PORT) for peer in self.names[:3]]),
+            key=self.key_file,
             period=load.period_ms, state=os.path.join(self.folder, f"state-{name}"), extra=load.extra)
 
     # Processes
@@ -204,39 +216,43 @@
         if process.stdout.readline() != "ready\n":
             raise RuntimeError(f"{name} did not start: see {path}")
 
-    def send_command(self, party: str, **what: Any) -> None:
+    def send_command(self, party: str, **command: Any) -> None:
         """Sends a command to a stand-in process; ignored if the process has ended."""
         process = self.party_processes[party]
         assert process.stdin is not None
         with self.lock, contextlib.suppress(BrokenPipeError):
-            process.stdin.write(json.dumps(what) + "\n")
+            process.stdin.write(json.dumps(command) + "\n")
             process.stdin.flush()
 
-    def _command_switchboard(self, order: Command) -> None:
+    def _command_switchboard(self, command: Command) -> None:
         process = self.party_processes["switchboard"]
         assert process.stdin is not None
         with self.lock, contextlib.suppress(BrokenPipeError):
-            process.stdin.write(msgspec.json.encode(order).decode() + "\n")
+            process.stdin.write(msgspec.json.encode(command).decode() + "\n")
             process.stdin.flush()
 
     def _start_standins(self) -> None:
         """Starts everything but the members: switchboard, control plane, ledgers, interpreters and clients."""
         load, folder, seed = self.load, self.folder, self.schedule.seed
         self._start_party("switchboard", "switchboard", self._switchboard_config())
-        self._start_party("control", "party", {"folder": folder, "address": self.direct_address(230, CONTROL_PORT)}, "control")
+        self._start_party("control", "party", {
+            "folder": folder, "address": self.direct_address(230, CONTROL_PORT)}, "control")
         self._start_party("ledgers", "party", {
             "folder": folder, "seed": seed,
-            "addresses": {ledger: self.direct_address(210 + k, LEDGER_PORT) for k, ledger in enumerate(self.ledger_names)},
+            "addresses": {
+                ledger: self.direct_address(210 + k, LEDGER_PORT) for k, ledger in enumerate(self.ledger_names)},
             "terms": {"slots": load.ledger_slots, "mean": int(load.ledger_mean_ms * 1000),
                       "crowd": load.ledger_crowd}}, "ledgers")
         self._start_party("interpreters", "party", {
             "folder": folder, "seed": seed, "cores": load.cores, "calls": ["rate-lookup"],
             "work_s": {method["name"]: load.work_s for method in METHODS}, "cold": load.cold, "warm_s": load.warm_s,
-            "addresses": {name: self.direct_address(n, INTERPRETER_PORT) for name, n in self.host_numbers.items()}}, "interpreters")
+            "addresses": {name: self.direct_address(n, INTERPRETER_PORT) for name, n in self.host_numbers.items()}},
+            "interpreters")
         self._start_party("clients", "party", {
             "folder": folder, "seed": seed, "methods": self.methods, "rate": load.rate, "clients": load.clients,
             "tries": load.tries, "heeds": load.heeds, "longest_s": 1.0, "control": self.proxy_address(230, 19999),
-            "addresses": {name: self.proxy_address(n, SERVICE_PORT) for name, n in self.host_numbers.items()}}, "clients")
+            "addresses": {name: self.proxy_address(n, SERVICE_PORT) for name, n in self.host_numbers.items()}},
+            "clients")
         for target in ("control", *self.ledger_names, *(f"vm-{name}" for name in self.names)):
             self._command_switchboard(Command(up=target))
 
@@ -280,7 +296,8 @@
     def fetch_table(self, name: str, table: str = "members") -> dict[str, Any] | None:
         """Returns a table of a member (see `hollystage fleet`); None if the member does not answer."""
         try:
-            rows: dict[str, Any] = json.loads(ask(self.direct_address(self.host_numbers[name], FLEET_PORT), self.key, "hollystage", table))
+            rows: dict[str, Any] = json.loads(
+                ask(self.direct_address(self.host_numbers[name], FLEET_PORT), self.key, "hollystage", table))
             return rows
         except (QueryError, ValueError):
             return None
@@ -352,7 +369,8 @@
         for name in self.running_members():
             self._send_signal(name, signal.SIGCONT)
         self.history.write("healed")
-        self.history.write("settled", seconds=self.wait_for_agreement(self.load.settle_s), running=self.running_members())
+        self.history.write("settled", seconds=self.wait_for_agreement(self.load.settle_s),
+                           running=self.running_members())
         for name in self.running_members():
             view = self.fetch_table(name)
             self.history.write("view", name, members=view and boots_of_living(view))
@@ -395,7 +413,8 @@
         expanded: list[str] = []
         for name in names:
             zone = [member for member, zone in self.zones.items() if zone == name or name == "all"]
-            expanded += [*zone, *(f"ledger-{name}" for _ in zone[:1] if f"ledger-{name}" in self.ledger_names)] or [name]
+            expanded += [
+                *zone, *(f"ledger-{name}" for _ in zone[:1] if f"ledger-{name}" in self.ledger_names)] or [name]
         return expanded
 
     def _send_signal(self, name: str, number: int) -> None:
@@ -482,7 +501,7 @@
             for life in range(1, self.start_counts[name] + 1):
                 with open(os.path.join(self.folder, f"{name}.{life}.log"), errors="replace") as file:
                     text = file.read()
-                for mark in ("Traceback", "a task failed", "an RPC got no word"):
+                for mark in ("Traceback", "a task failed", "no decision for an RPC"):
                     if mark in text:
                         self.history.write("outcry", name, life=life, mark=mark)
         self.network_reservation.close()
--- a/hollystage/standins/fleet/schedules.py
+++ b/hollystage/standins/fleet/schedules.py
@@ -7,12 +7,13 @@
 
 from .faults import Fault, Schedule
 
-FAULT_KINDS = ("kill", "restart", "pause", "cut", "half", "lose", "delay", "double", "reorder", "spoil", "cap", "reset",
-         "drain", "clock")
+FAULT_KINDS = ("kill", "restart", "pause", "cut", "half", "lose", "delay", "double", "reorder", "spoil", "cap",
+               "reset", "drain", "clock")
 TERM_DURING_PAUSE_SHARE = 0.4  # share of schedules with a SIGTERM during a pause
 
 
-def random_schedule(seed: int, members: int = 12, seconds: float = 10.0, kinds: tuple[str, ...] = FAULT_KINDS) -> Schedule:
+def random_schedule(seed: int, members: int = 12, seconds: float = 10.0,
+                    kinds: tuple[str, ...] = FAULT_KINDS) -> Schedule:
     """Draws two to six faults at random times; each ends within the schedule or is healed at its end."""
     rng = random.Random(seed)
     names = [f"m{n}" for n in range(members)]
@@ -187,19 +188,21 @@
     return Schedule(len(names), 13, seed, [first_preference, *cases[case]], load=load)
 
 
-BUDGET_SCENES = ("budgets", "budgets, need jumps", "budgets, nine killed", "budgets, six replaced", "budgets, cut in two",
-          "budgets, divider killed", "budgets, divider paused", "budgets, lossy", "budgets, one way",
-          "budgets, clocks apart", "budgets, all paused in turn", "budgets, fewer units than members",
-          "budgets, state lost")
+BUDGET_SCENES = (
+    "budgets", "budgets, need jumps", "budgets, nine killed", "budgets, six replaced", "budgets, cut in two",
+    "budgets, divider killed", "budgets, divider paused", "budgets, lossy", "budgets, one way",
+    "budgets, clocks apart", "budgets, all paused in turn", "budgets, fewer units than members",
+    "budgets, state lost")
 
 BUDGET_LOAD: dict[str, Any] = {  # calls of 120 ms: the demand is a little more than the total
     "ledger_slots": 500, "ledger_mean_ms": 120.0, "linger_ms": 1000, "rate": 300.0,
     "clients": 200, "work_s": 0.01, "warm_up_s": 4.0}
 
-RECOVERY_SCENES = ("nine at once", "all at once", "one after another", "into a slow ledger", "cut in two", "state lost",
-        "state lost by half", "state an hour old", "clocks back a day", "clocks on a day", "a crash loop",
-        "killed in the ramp", "a zone is slow", "no limit to tries", "another plan", "a survivor paused",
-        "killed again and again")
+RECOVERY_SCENES = (
+    "nine at once", "all at once", "one after another", "into a slow ledger", "cut in two", "state lost",
+    "state lost by half", "state an hour old", "clocks back a day", "clocks on a day", "a crash loop",
+    "killed in the ramp", "a zone is slow", "no limit to tries", "another plan", "a survivor paused",
+    "killed again and again")
 
 RECOVERY_LOAD: dict[str, Any] = {  # 12 members at 80% of their warm capacity; 40% speed after a start, warm after 6 s
     "cores": 1, "work_s": 0.05, "cold": 0.4, "warm_s": 6.0, "rate": 190.0, "clients": 150, "warm_up_s": 8.0,
--- a/hollystage/standins/fleet/seeded_faults.py
+++ b/hollystage/standins/fleet/seeded_faults.py
@@ -265,7 +265,6 @@
     "no-refutation": _no_refutation, "older-boot": _prefer_older_boot, "accuse-asleep": _accuse_after_pause,
     "never-ask-lost": _never_probe_lost, "babble": _flood_datagrams, "boot-falls": _decrease_boot,
     "forget-tokens": _forget_idempotency_keys, "push-back-what-ran": _reject_after_run, "swallow": _drop_answers,
-    "knows-nothing": _forget_predecessors, "asked-back-is-free": _free_before_confirmation, "keeps-its-part": _keep_expired_grant,
-    "bounds-unheard": _ignore_allocation, "run-late": _run_during_drain, "hear-late": _ignore_late_notice, "hoard": _leak_memory}
-
-
+    "knows-nothing": _forget_predecessors, "asked-back-is-free": _free_before_confirmation,
+    "keeps-its-part": _keep_expired_grant, "bounds-unheard": _ignore_allocation, "run-late": _run_during_drain,
+    "hear-late": _ignore_late_notice, "hoard": _leak_memory}
--- a/hollystage/standins/fleet/service_simulation.py
+++ b/hollystage/standins/fleet/service_simulation.py
@@ -107,7 +107,8 @@
         parameters, now = self.simulation.parameters, self.clock.now
         if self.unread_count >= parameters.max_unread:
             self.simulation.counts["table full"] += 1
-            self.clock.call_at(now + 200_000, lambda: self.simulation._send_attempt(rpc))  # the connection is not accepted
+            # the connection is not accepted
+            self.clock.call_at(now + 200_000, lambda: self.simulation._send_attempt(rpc))
             return
         self.attempt_count += 1
         number = self.attempt_count
@@ -185,22 +186,26 @@
 
     def __init__(self, instance: Instance) -> None:
         self.instance, control = instance, instance.control
-        self.ramp_controller = RampController(control, instance.clock.now, len(instance.simulation.fleet.nodes), instance.settings.cold)
+        self.ramp_controller = RampController(
+            control, instance.clock.now, len(instance.simulation.fleet.nodes), instance.settings.cold)
         self.pressure, self.restart_guard = PressureLevel(), RestartGuard(instance.started_at)
         self.members = instance.simulation.fleet.nodes[instance.name].members
         self.view = self.members.view(instance.clock.now)
 
     def refuses(self, caller_rpc: CallerRpc, now: int) -> bool:
+        """Whether an earlier process may have run the RPC, so that it is aborted."""
         return self.instance.settings.cold and self.restart_guard.may_have_run(
             caller_rpc.demand.method, caller_rpc.number, caller_rpc.attempts > 1, now)
 
     def tick(self, now: int) -> None:
+        """Updates the bounds of calls, and the stage and pressure level that the member publishes."""
         control, node = self.instance.control, self.instance.simulation.fleet.nodes[self.instance.name]
         if self.members.view_changed:
             self.view = self.members.view(now)
         self.ramp_controller.apply(control, self.ramp_controller.bounds(
             self.view, self.instance.calls_ended, control.odd_replies.mean(now), control.usual_call, now))
-        is_cold = self.instance.settings.cold and now - self.instance.started_at < self.instance.simulation.parameters.warm_up_time
+        is_cold = (self.instance.settings.cold
+                   and now - self.instance.started_at < self.instance.simulation.parameters.warm_up_time)
         self.members.set_status(msgspec.structs.replace(
             self.members.me.status, stage=Stage.COLD if is_cold else Stage.SERVING,
             pressure=self.pressure.update(control.rejections.mean(now), now)), now)
@@ -260,6 +265,7 @@
 
     @property
     def now_s(self) -> int:
+        """Returns the second of the virtual clock."""
         return self.clock.now // SECOND
 
     def _schedule_next(self, demand: Demand) -> None:
@@ -273,7 +279,8 @@
     def _update_list(self) -> None:
         """Updates the callers' list of ready instances, with a delay of 1 to 2 s."""
         ready = [name for name, instance in self.instances.items() if instance.alive and instance.control.healthy
-                 and self.clock.now - instance.started_at >= (self.parameters.boot_time if instance.settings.cold else 0)]
+                 and self.clock.now - instance.started_at >= (
+                     self.parameters.boot_time if instance.settings.cold else 0)]
 
         def update() -> None:
             if ready:
@@ -291,7 +298,8 @@
             return
         rpc.attempts += 1
         self.attempts_by_second[self.now_s] += 1
-        rpc.last_instance = rpc.required_instance or self.rng.choice([name for name in self.listed_instances if name != rpc.last_instance] or self.listed_instances)
+        rpc.last_instance = rpc.required_instance or self.rng.choice(
+            [name for name in self.listed_instances if name != rpc.last_instance] or self.listed_instances)
         instance = self.instances[rpc.last_instance]
         ready = now - instance.started_at >= self.parameters.boot_time or not instance.settings.cold
         if not instance.alive or not ready:
@@ -342,12 +350,13 @@
         if len(self.last_runs) > 100_000:
             self.last_runs = {key: at for key, at in self.last_runs.items() if self.clock.now - at < 10 * SECOND}
 
-    # Diagnostics
+    # Faults
 
     def schedule_faults(self, faults: list[Fault]) -> None:
         """Schedules faults from now on."""
         for fault in faults:
-            self.clock.call_at(self.clock.now + int(fault.at * SECOND), lambda fault=fault: self.apply(fault))  # type: ignore[misc]
+            self.clock.call_at(self.clock.now + int(fault.at * SECOND),
+                               lambda fault=fault: self.apply(fault))  # type: ignore[misc]
 
     def apply(self, fault: Fault) -> None:
         """Applies a fault now, to the service and to its membership."""
@@ -366,7 +375,8 @@
         for rpc in self.instances[name].die():
             if rpc.demand.method.kind is MethodKind.KEYED:
                 rpc.required_instance = name  # this instance may have run it
-            self.clock.call_at(self.clock.now + (200_000 if rpc.required_instance else 20_000), lambda rpc=rpc: self._send_attempt(rpc))  # type: ignore[misc]
+            self.clock.call_at(self.clock.now + (200_000 if rpc.required_instance else 20_000),
+                               lambda rpc=rpc: self._send_attempt(rpc))  # type: ignore[misc]
 
     def _apply_command(self, fault: Fault) -> None:
         command = json.loads(fault.how)
@@ -385,4 +395,5 @@
 
     def worth(self, start: int, end: int) -> float:
         """Returns the criticality served within target, per second, from second `start` to before `end`."""
-        return sum(self.results_by_second[at].worth for at in range(start, end) if at in self.results_by_second) / max(1, end - start)
+        return sum(self.results_by_second[at].worth for at in range(start, end)
+                   if at in self.results_by_second) / max(1, end - start)
--- a/hollystage/standins/fleet/switchboard.py
+++ b/hollystage/standins/fleet/switchboard.py
@@ -29,21 +29,21 @@
 LINGER_RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER with which close() sends RST
 
 
-class Forward(msgspec.Struct):
+class Forward(msgspec.Struct, rename={"proxy_address": "face", "direct_address": "real"}):
     """A proxy address and the party behind it. With an empty `source` the sender is identified by its address."""
 
-    face: str
+    proxy_address: str
     target: str
-    real: str
+    direct_address: str
     source: str = ""
     datagrams: bool = False
 
 
-class SwitchboardConfig(msgspec.Struct):
+class SwitchboardConfig(msgspec.Struct, rename={"forwards": "doors", "party_by_host": "hosts"}):
     """Configuration of the switchboard process, read from a JSON file."""
 
-    doors: list[Forward]
-    hosts: dict[str, str]  # name of a party by the host of its direct address
+    forwards: list[Forward]
+    party_by_host: dict[str, str]  # name of a party by the host of its direct address
     seed: int
     folder: str = ""  # folder of the history; empty: none is written
 
@@ -68,9 +68,9 @@
     `on_due` is called when a delayed chunk is due.
     """
 
-    def __init__(self, board: Switchboard, pair: tuple[str, str], source: socket.socket, sink: socket.socket,
-                 turn: Callable[[], None]) -> None:
-        self.switchboard, self.pair, self.source, self.sink, self.on_due = board, pair, source, sink, turn
+    def __init__(self, switchboard: Switchboard, pair: tuple[str, str], source: socket.socket, sink: socket.socket,
+                 on_due: Callable[[], None]) -> None:
+        self.switchboard, self.pair, self.source, self.sink, self.on_due = switchboard, pair, source, sink, on_due
         self.queue: deque[tuple[float, bytes]] = deque()  # due time and bytes; b"" is the end of the stream
         self.queued_bytes, self.latest_due = 0, 0.0
         self.source_closed = self.finished = False
@@ -129,11 +129,12 @@
 class Connection:
     """A connection through the switchboard, with a pipe for each direction."""
 
-    def __init__(self, board: Switchboard, source: str, target: str, near: socket.socket, far: socket.socket) -> None:
-        self.switchboard, self.near, self.far = board, near, far
+    def __init__(self, switchboard: Switchboard, source: str, target: str, near: socket.socket, far: socket.socket,
+                 ) -> None:
+        self.switchboard, self.near, self.far = switchboard, near, far
         self.source, self.target, self.is_open = source, target, True
-        self.pipes = (Pipe(board, (source, target), near, far, self.transfer),
-                      Pipe(board, (target, source), far, near, self.transfer))
+        self.pipes = (Pipe(switchboard, (source, target), near, far, self.transfer),
+                      Pipe(switchboard, (target, source), far, near, self.transfer))
 
     def transfer(self) -> None:
         """Transfers what is possible in both directions; closes the connection when both have ended."""
@@ -167,9 +168,9 @@
     """The switchboard: one thread that serves all sockets, timers and commands with epoll."""
 
     def __init__(self, config: SwitchboardConfig) -> None:
-        self.network, self.party_by_host = Network(config.seed), config.hosts
-        self.forwards = config.doors
-        self.parties = sorted({*config.hosts.values(), *(forward.target for forward in config.doors)})
+        self.network, self.party_by_host = Network(config.seed), config.party_by_host
+        self.forwards = config.forwards
+        self.parties = sorted({*config.party_by_host.values(), *(forward.target for forward in config.forwards)})
         self.epoll = select.epoll()
         self.listeners: dict[int, tuple[socket.socket, Forward]] = {}
         self.datagram_sockets: dict[int, tuple[socket.socket, Forward]] = {}
@@ -182,7 +183,7 @@
         for forward in self.forwards:
             if forward.datagrams:
                 sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-                sock.bind(parse_address(forward.face))
+                sock.bind(parse_address(forward.proxy_address))
                 sock.setblocking(False)
                 self.datagram_sockets[sock.fileno()] = sock, forward
                 self.epoll.register(sock, select.EPOLLIN)
@@ -246,7 +247,7 @@
         open_forwards = {id(forward) for _, forward in self.listeners.values()}
         for forward in self.forwards:
             if forward.target == target and not forward.datagrams and id(forward) not in open_forwards:
-                sock = socket.create_server(parse_address(forward.face), backlog=512)
+                sock = socket.create_server(parse_address(forward.proxy_address), backlog=512)
                 sock.setblocking(False)
                 self.listeners[sock.fileno()] = sock, forward
                 self.epoll.register(sock, select.EPOLLIN)
@@ -271,7 +272,7 @@
                 for sock in (near, far):
                     sock.setblocking(False)
                     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                if far.connect_ex(parse_address(forward.real)) not in (0, errno.EINPROGRESS):
+                if far.connect_ex(parse_address(forward.direct_address)) not in (0, errno.EINPROGRESS):
                     connection.close(True)
                     continue
                 for sock in (near, far):
@@ -291,9 +292,10 @@
                         at = self.network.rng.randrange(len(data))
                         copy = data[:at] + bytes([data[at] ^ 0x41]) + data[at + 1:]
                     if delay <= 0:
-                        self._send_datagram(sock, copy, forward.real)
+                        self._send_datagram(sock, copy, forward.direct_address)
                     else:
-                        self.call_at(now + delay, lambda copy=copy: self._send_datagram(sock, copy, forward.real))  # type: ignore[misc]
+                        self.call_at(now + delay, lambda copy=copy: self._send_datagram(  # type: ignore[misc]
+                            sock, copy, forward.direct_address))
 
     @staticmethod
     def _send_datagram(sock: socket.socket, data: bytes, direct_address: str) -> None:
@@ -302,6 +304,7 @@
 
 
 def main() -> None:
+    """Reads the configuration file named on the command line and runs the switchboard."""
     with open(sys.argv[1], "rb") as file:
         config = msgspec.json.decode(file.read(), type=SwitchboardConfig)
     Switchboard(config).run()
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -222,7 +222,8 @@
     import msgspec
 
     schedule = scene_schedule(name, 12)
-    assert msgspec.json.decode(msgspec.json.encode(schedule), type=Schedule) == schedule and not schedule.unknown_party()
+    assert (msgspec.json.decode(msgspec.json.encode(schedule), type=Schedule) == schedule
+            and not schedule.unknown_party())
 
 
 def test_equal_seeds_draw_equal_schedules_whose_faults_end_in_time():
@@ -237,7 +238,8 @@
         return any(pause.at < term.at < pause.at + pause.amount for pause in schedule.faults if pause.do == "pause"
                    for term in schedule.faults if term.do == "term" and set(term.who) & set(pause.who))
     assert 70 < sum(terminates_paused(random_schedule(seed, 5, 12.0)) for seed in range(200)) < 130
-    assert terminates_paused(random_schedule(771203, 5, 12.0)) and not terminates_paused(random_schedule(3, kinds=("cut",)))
+    assert (terminates_paused(random_schedule(771203, 5, 12.0))
+            and not terminates_paused(random_schedule(3, kinds=("cut",))))
 
 
 @pytest.mark.parametrize("fault, share", [
@@ -266,8 +268,8 @@
     invoke = CliRunner().invoke
     path = tmp_path / "bad.json"
     for text, message in (("{", "bad.json"), ('{"faults": [{"at": 1, "do": "melt", "who": ["m1"]}]}', "melt"),
-                        ('{"faults": [{"at": 1, "do": "kill", "who": ["m99"]}]}', "no party is called 'm99'"),
-                        ('{"members": 0}', "members")):
+                          ('{"faults": [{"at": 1, "do": "kill", "who": ["m99"]}]}', "no party is called 'm99'"),
+                          ('{"members": 0}', "members")):
         path.write_text(text)
         result = invoke(app, ["lab", "fleet", "--schedule", str(path)])
         assert result.exit_code == 2 and message in result.output
