--- a/hollystage/standins/fleet/party.py
+++ b/hollystage/standins/fleet/party.py
@@ -64,7 +64,7 @@
 
 
 class FailingLedger(LedgerServer):
-    """The ledger of a zone; writes every call to the history, and can be told to fail a share of its calls at once.
+    """The ledger of a zone; writes every call to the history, and fails a share of its calls at once on command.
 
     `failing_class`: only calls of this class fail; empty: all classes.
     """
--- a/hollystage/standins/fleet/recovery_check.py
+++ b/hollystage/standins/fleet/recovery_check.py
@@ -69,7 +69,7 @@
 
 
 def _check_rejections(lines: list[Line]) -> Iterable[Violation]:
-    """A retry of an RPC that an earlier process ran is not rejected: a rejection says that the RPC has not run."""
+    """A retry of an RPC that an earlier process ran is not rejected: a rejection means that the RPC has not run."""
     ran: dict[tuple[str, str], tuple[int, int]] = {}
     process: dict[str, int] = defaultdict(int)
     may_have_run: dict[str, str] = {}
@@ -116,7 +116,7 @@
 
 
 def _check_ledger(lines: list[Line]) -> Iterable[Violation]:
-    """A ledger fails only if the schedule orders it."""
+    """A ledger fails only if a fault of the schedule makes it fail."""
     ordered = any(line["what"] == "fault" and '"die"' in line.get("how", "") for line in lines)
     failure = next((line for line in lines if line["what"] == "load" and line["deaths"]), None)
     if failure is not None and not ordered:
--- a/hollystage/standins/fleet/service_simulation.py
+++ b/hollystage/standins/fleet/service_simulation.py
@@ -224,14 +224,14 @@
         self.fleet = FleetSimulation(count, seed, converged=True)
         self.clock, self.rng = self.fleet.clock, random.Random(seed)
         parameters = self.parameters
-        look, keep = parameters.work
-        mean = 0.66 * look + 0.34 * keep
+        lookup_work, hold_work = parameters.work
+        mean = 0.66 * lookup_work + 0.34 * hold_work
         self.rate = parameters.load * count * parameters.cores / mean * SECOND  # RPCs per second over all instances
         slots = max(2, round(0.66 * self.rate * parameters.ledger_mean / SECOND / parameters.ledger_load))
         self.ledger_parameters = LedgerParameters(slots=slots, mean=parameters.ledger_mean)
         self.ledger = LedgerModel(self.clock, self.ledger_parameters, seed)
-        self.demands = [Demand(idempotent_method(), "lookup", 0.66 * self.rate, look, makes_calls=True),
-                        Demand(keyed_method(), "hold", 0.34 * self.rate, keep)]
+        self.demands = [Demand(idempotent_method(), "lookup", 0.66 * self.rate, lookup_work, makes_calls=True),
+                        Demand(keyed_method(), "hold", 0.34 * self.rate, hold_work)]
         self.settings: dict[str, Any] = {
             "cores": parameters.cores, "calls_out": slots / count, "peers": count, "cold_from": parameters.cold_speed,
             "warm_after": parameters.warm_up_time, "memory": 20_000.0 * parameters.cores, "promises": promises}
@@ -343,12 +343,13 @@
         """Counts keyed RPCs that run twice in their window at one instance, also if it was killed in between."""
         if rpc is None or rpc.demand.method.kind is not MethodKind.KEYED:
             return
-        last = self.last_runs.get((name, rpc.number))
-        if last is not None and self.clock.now - last < rpc.demand.method.window:
+        last_run = self.last_runs.get((name, rpc.number))
+        if last_run is not None and self.clock.now - last_run < rpc.demand.method.window:
             self.counts["twice"] += 1
         self.last_runs[name, rpc.number] = self.clock.now
         if len(self.last_runs) > 100_000:
-            self.last_runs = {key: at for key, at in self.last_runs.items() if self.clock.now - at < 10 * SECOND}
+            self.last_runs = {key: started for key, started in self.last_runs.items()
+                              if self.clock.now - started < 10 * SECOND}
 
     # Faults
 
@@ -395,5 +396,5 @@
 
     def worth(self, start: int, end: int) -> float:
         """Returns the criticality served within target, per second, from second `start` to before `end`."""
-        return sum(self.results_by_second[at].worth for at in range(start, end)
-                   if at in self.results_by_second) / max(1, end - start)
+        return sum(self.results_by_second[second].worth for second in range(start, end)
+                   if second in self.results_by_second) / max(1, end - start)
