--- a/hollystage/decisions/comeback/recovery.py
+++ b/hollystage/decisions/comeback/recovery.py
@@ -1,7 +1,7 @@
 """Recovery of learned state after a restart, and detection of RPCs that an earlier process may have run.
 
 The weight of a stored value decreases with its age, by the half-life of its kind, until only the default of a cold
-start remains. A value of unknown age has no weight, and grants to an earlier boot are void. `BELIEF_KINDS` lists all
+start remains. A value of unknown age has no weight, and grants to an earlier boot are void. `LEARNED_KINDS` lists all
 kinds; for each, docs/notes/comeback.md names the test that shows that a stale value does no harm.
 """
 from __future__ import annotations
@@ -97,7 +97,7 @@
     limit: float = 0.0  # limit on calls, relative to the instance's share of calls
     typical_call: float = 0.0  # duration in microseconds
     work_per_hint: float = 0.0  # mean ratio of the time on the cores to the work that callers hinted
-    hint_weight: float = 0.0  # weight of `pace`
+    hint_weight: float = 0.0  # weight of `work_per_hint`
     methods: dict[str, MethodStats] = {}
 
 
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -93,7 +93,8 @@
 @pytest.mark.parametrize("kind", [kind for kind, aging in LEARNED_KINDS.items() if not aging.half_life])
 def test_grants_to_an_earlier_boot_are_void_and_not_part_of_a_snapshot(kind):
     assert weight(kind, 0.0) == 0.0 and kind not in MONOTONIC
-    assert LearnedState.__struct_fields__ == ("machine", "limit", "typical_call", "pace", "hint_weight", "methods")
+    assert LearnedState.__struct_fields__ == (
+        "machine", "limit", "typical_call", "work_per_hint", "hint_weight", "methods")
     assert MethodStats.__struct_fields__ == (
         "cost", "runs", "off_core_time", "reject_age", "reject_count", "timeouts")
 
@@ -208,7 +209,8 @@
         with open(path, "wb") as file:
             file.write(damaged)
         stored, age_s, fault = read_snapshot(tmp_path / "s")
-        assert stored is None and age_s is None and fault.count("\n") == 0 and "begins as if nothing" in fault
+        assert stored is None and age_s is None and fault.count("\n") == 0
+        assert fault.endswith("; starting without learned statistics")
     with open(path, "wb") as file:
         file.write(intact)
     assert read_snapshot(tmp_path / "s")[0] is not None
