--- a/benchmarks/comeback.py
+++ b/benchmarks/comeback.py
@@ -306,7 +306,7 @@
 def snapshot(methods: int = 16, times: int = 200) -> None:
     """Measures export (under the driver's lock), write, read and restore of a snapshot."""
     from hollystage.control import Control
-    from hollystage.decisions.comeback.recovery import export_learned, restore_learned
+    from hollystage.decisions.recovery.recovery import export_learned, restore_learned
     from hollystage.interface import Method, MethodKind
     from hollystage.standins.scenes import make_settings
     from hollystage.store import snapshot as stored
--- a/hollystage/cli.py
+++ b/hollystage/cli.py
@@ -36,7 +36,7 @@
     SIGUSR1 logs the counters.
     """
     entered = time.monotonic()
-    from .decisions.leaving.drain_notice import DrainNotice
+    from .decisions.draining.drain_notice import DrainNotice
     from .service.config import load
     from .service.driver import clock
     from .service.instance import Instance
--- a/hollystage/policy/queues.py
+++ b/hollystage/policy/queues.py
@@ -7,7 +7,7 @@
 from ..decisions.calls.limits import make_limit
 from ..decisions.calls.pacing import Pacer
 from ..decisions.calls.pools import AWAITING_CALL, IN_CALL, NO_POOL, NOT_STARTED, ON_CORES, Pools
-from ..decisions.comeback.retry_calendar import RetryCalendar
+from ..decisions.recovery.retry_calendar import RetryCalendar
 from ..decisions.stall_detector import StallDetector
 from ..interface import Action, Method, Rpc, Settings, Tenant
 from .buckets import *
--- a/hollystage/service/driver.py
+++ b/hollystage/service/driver.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 from ..control import Control
-from ..decisions.leaving.drain_notice import DrainNotice
+from ..decisions.draining.drain_notice import DrainNotice
 from ..interface import Action, ActionKind, Outcome, PoolConfig, Rpc, Settings
 from .counters import Counters
 from .exchange import CALLER_DISCONNECTED, Exchange, RunResult
--- a/hollystage/service/peers.py
+++ b/hollystage/service/peers.py
@@ -12,9 +12,9 @@
 
 import msgspec
 
-from ..decisions.comeback.recovery import machine_fingerprint
 from ..decisions.membership.parameters import Parameters
 from ..decisions.membership.records import MemberStatus, Stage, View
+from ..decisions.recovery.recovery import machine_fingerprint
 from ..fleet.agent import Agent
 from ..plan import sections
 from ..plan.compiled import UnusableFileError, digest, read_key
--- a/hollystage/service/recovery_manager.py
+++ b/hollystage/service/recovery_manager.py
@@ -12,11 +12,11 @@
 import msgspec
 
 from ..control import Control
-from ..decisions.comeback import recovery
-from ..decisions.comeback.ramp import PressureLevel, RampController
-from ..decisions.comeback.recovery import LearnedState, RestartGuard
 from ..decisions.jitter import StartJitter
 from ..decisions.membership.records import View
+from ..decisions.recovery import recovery
+from ..decisions.recovery.ramp import PressureLevel, RampController
+from ..decisions.recovery.recovery import LearnedState, RestartGuard
 from ..fleet.agent import Agent
 from ..fleet.codec import FetchReply, FetchRequest
 from ..store import snapshot
--- a/hollystage/standins/fleet/recovery_check.py
+++ b/hollystage/standins/fleet/recovery_check.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from ...decisions.comeback.recovery import LEARNED_KINDS
+from ...decisions.recovery.recovery import LEARNED_KINDS
 from .check import IDEMPOTENCY_WINDOW_S, SECOND, Violation, find_disturbances
 from .history import Line
 
--- a/hollystage/standins/fleet/seeded_faults.py
+++ b/hollystage/standins/fleet/seeded_faults.py
@@ -128,7 +128,7 @@
 
 def _ignore_late_notice() -> None:
     """The drain notice counts from its delivery, and no RPC waits for a signal check after a suspension."""
-    from ...decisions.leaving.drain_notice import DrainNotice
+    from ...decisions.draining.drain_notice import DrainNotice
 
     _replace(DrainNotice, "given_at", lambda self, now: now)
     _replace(DrainNotice, "in_doubt", lambda self, received_at: False)
@@ -149,7 +149,7 @@
 
 def _no_restart_guard() -> None:
     """After a start without the idempotency table, every retry is run."""
-    from ...decisions.comeback.recovery import RestartGuard
+    from ...decisions.recovery.recovery import RestartGuard
 
     _replace(RestartGuard, "may_have_run", lambda *_: False)
 
@@ -170,7 +170,7 @@
 def _replace_in_recovery(name: str, value: Any) -> Callable[[], None]:
     """Returns a seeded fault that replaces a name in the module recovery, and in snapshot if that imports it."""
     def seed() -> None:
-        from ...decisions.comeback import recovery
+        from ...decisions.recovery import recovery
         from ...store import snapshot
 
         _replace(recovery, name, value)
@@ -181,7 +181,7 @@
 
 def _trust_one_peer() -> None:
     """The statistics of the first peer are used without those of a second one."""
-    from ...decisions.comeback import recovery
+    from ...decisions.recovery import recovery
     from ...service import recovery_manager
 
     _replace(recovery, "merge_learned", lambda fetched, machine: fetched[0] if fetched else None)
@@ -201,7 +201,7 @@
 
 def _promise_all() -> None:
     """Every caller is promised the next slot, however many were promised it before."""
-    from ...decisions.comeback.retry_calendar import SLOT_WIDTH, RetryCalendar
+    from ...decisions.recovery.retry_calendar import SLOT_WIDTH, RetryCalendar
 
     def promise(self: RetryCalendar, caller: int, method: int, now: int, latest: int) -> int:
         self.promises[caller, method] = now + SLOT_WIDTH
@@ -211,7 +211,7 @@
 
 def _unlimited_calls() -> None:
     """The call limit is twenty times the instance's share, and slow replies do not lower it."""
-    from ...decisions.comeback.ramp import RampController
+    from ...decisions.recovery.ramp import RampController
 
     def apply(self: RampController, control: Any, bounds: Any) -> None:
         control.call_limit.set_bounds(20 * self.max_calls, 20 * self.max_calls)
--- a/hollystage/standins/fleet/service_simulation.py
+++ b/hollystage/standins/fleet/service_simulation.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
-from ...decisions.comeback.ramp import PressureLevel, RampController
-from ...decisions.comeback.recovery import RestartGuard
 from ...decisions.membership.records import Stage
+from ...decisions.recovery.ramp import PressureLevel, RampController
+from ...decisions.recovery.recovery import RestartGuard
 from ...interface import Action, ActionKind, MethodKind, Outcome, Rpc, Settings
 from ..ledger import LedgerModel, LedgerParameters
 from ..processor_sharing import ProcessorSharing
--- a/hollystage/store/snapshot.py
+++ b/hollystage/store/snapshot.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from ..decisions.comeback.recovery import LearnedState, age
+from ..decisions.recovery.recovery import LearnedState, age
 from .folder import StateError, StateFolder
 
 FORMAT_VERSION = 1
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -6,7 +6,10 @@
 import pytest
 
 from hollystage.control import Control
-from hollystage.decisions.comeback.ramp import (
+from hollystage.decisions.jitter import FLEET_RATES, StartJitter
+from hollystage.decisions.membership.parameters import Parameters
+from hollystage.decisions.membership.records import Belief, MemberStatus, Record, Stage, View
+from hollystage.decisions.recovery.ramp import (
     INITIAL_SHARE,
     CallBounds,
     FleetSummary,
@@ -14,7 +17,7 @@
     RampController,
     summarize,
 )
-from hollystage.decisions.comeback.recovery import (
+from hollystage.decisions.recovery.recovery import (
     LEARNED_KINDS,
     MONOTONIC,
     LearnedState,
@@ -27,10 +30,7 @@
     restore_learned,
     weight,
 )
-from hollystage.decisions.comeback.retry_calendar import MIN_PROMISED_SHARE, RetryCalendar
-from hollystage.decisions.jitter import FLEET_RATES, StartJitter
-from hollystage.decisions.membership.parameters import Parameters
-from hollystage.decisions.membership.records import Belief, MemberStatus, Record, Stage, View
+from hollystage.decisions.recovery.retry_calendar import MIN_PROMISED_SHARE, RetryCalendar
 from hollystage.interface import Method, MethodKind, Rpc
 from hollystage.standins.fleet.faults import Fault
 from hollystage.standins.fleet.fleet_simulation import FleetSimulation
--- a/tests/test_notice.py
+++ b/tests/test_notice.py
@@ -10,7 +10,7 @@
 import pytest
 from helpers import Interpreter, ServiceHarness, wait_until
 
-from hollystage.decisions.leaving.drain_notice import HEARTBEAT_INTERVAL, DrainNotice
+from hollystage.decisions.draining.drain_notice import HEARTBEAT_INTERVAL, DrainNotice
 from hollystage.service.buffers import IncompleteMessageError
 
 GRACE_S = 0.3  # equal to the setting of ServiceHarness
