--- a/hollystage/decisions/budgets/allocation.py
+++ b/hollystage/decisions/budgets/allocation.py
@@ -1,7 +1,7 @@
 """One process's units of one budget: what it may use now, what counts as committed, and what it lends and borrows.
 
-The units are used by another component (the decision module), which is told its limit and applies it some moments
-later. Until it reports the new limit (`applied_limit`), the limit it was told before counts as committed.
+The decision module uses the units. It applies a new limit with a delay; until it reports the new limit
+(`applied_limit`), the earlier limit counts as committed.
 """
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 class Allocation:
     """A process's units of one budget: its grant, its floor, and loans given and taken."""
 
-    def __init__(self, budget: Budget, terms: LeaseParameters, started_at: int) -> None:
-        self.budget, self.parameters = budget, terms
+    def __init__(self, budget: Budget, parameters: LeaseParameters, started_at: int) -> None:
+        self.budget, self.parameters = budget, parameters
         self.granted_units = self.granted_until = 0
         # an earlier process of the same name may still use its floor or have lent it
-        self.floor_available_at = started_at + floor_delay(budget, terms)
-        self.suspended = False  # another process has the same name
+        self.floor_available_at = started_at + floor_delay(budget, parameters)
+        self.suspended = False  # true while another process has the same name; nothing may be used then
         self.in_use = self.applied_limit = 0  # both as they were at the same moment
-        self.loans_given: list[tuple[int, int]] = []  # (end of the time that they count as used by this process, units)
-        self.loans_taken: list[tuple[int, int]] = []  # (end of the time that they may be used, units)
+        self.loans_given: list[tuple[int, int]] = []  # (end of the loan and of the longest use after it, units)
+        self.loans_taken: list[tuple[int, int]] = []  # (end of the loan, units)
 
     def floor(self, now: int) -> int:
         """Returns the units that need no grant."""
@@ -53,17 +53,21 @@
 
     def steps(self, now: int) -> Steps:
         """Returns the units allowed over time if no message arrives, for a component that applies them by itself."""
-        ends = sorted({end for end in (self.granted_until if self.granted_units else 0, *(end for end, _ in self.loans_taken))
-                       if end > now})
-        found: list[tuple[int, int]] = []
+        ends = sorted({
+            end for end in (self.granted_until if self.granted_units else 0, *(end for end, _ in self.loans_taken))
+            if end > now})
+        steps: list[tuple[int, int]] = []
         units, start = self.usable(now), now
         for end in ends:
-            found.append((end, min(units, self._usable_later(start))))
+            steps.append((end, min(units, self._usable_later(start))))
             start = end
-        return (*found, (FOREVER, min(units, self._usable_later(start))))
+        return (*steps, (FOREVER, min(units, self._usable_later(start))))
 
     def _usable_later(self, time: int) -> int:
-        """Returns the units usable at a later time, without a floor yet to become available or loans yet to end."""
+        """Returns the units usable at a later time, without those that become free at the end of loans given.
+
+        `steps` limits the result to the units usable now, so a floor that becomes available later does not count.
+        """
         own = max(self.granted_units if time < self.granted_until and not self.suspended else 0, self.floor(time))
         borrowed = 0 if self.suspended else sum(units for end, units in self.loans_taken if time < end)
         return max(0, own - sum(units for _, units in self.loans_given) + borrowed)
@@ -73,9 +77,10 @@
         self.granted_units, self.granted_until = units, requested_at + self.parameters.holder_duration
 
     def lend(self, units: int, now: int) -> tuple[int, int]:
-        """Sets up to `units` units aside for a loan. Returns the units lent and their duration by this clock.
+        """Sets up to `units` units aside for a loan, at most half of the idle ones (rounded up).
 
-        The loan may be sent only after `applied_limit` shows that no use exceeds what is left.
+        Returns the units lent and their duration by this clock. The loan may be sent only after `may_send_loan`
+        returns true: until then the decision module may still use the units.
         """
         idle = self.usable(now) - self.in_use - self.borrowed_units(now)
         units = min(units, idle - idle // 2)
@@ -86,7 +91,7 @@
         return units, remaining
 
     def may_send_loan(self, now: int) -> bool:
-        """Returns whether the reported use and limit no longer include units set aside for loans."""
+        """Returns whether the reported use and the applied limit no longer include units set aside for loans."""
         return max(self.in_use, self.applied_limit) <= self.usable(now)
 
     def add_borrowed(self, units: int, remaining: int, requested_at: int) -> None:
--- a/hollystage/decisions/budgets/allocator.py
+++ b/hollystage/decisions/budgets/allocator.py
@@ -16,9 +16,9 @@
     an answer.
     """
 
-    def __init__(self, budgets: Iterable[Budget], terms: LeaseParameters, epoch: int, now: int) -> None:
+    def __init__(self, budgets: Iterable[Budget], parameters: LeaseParameters, epoch: int, now: int) -> None:
         self.epoch = epoch
-        self.budget_allocators = {budget.name: BudgetAllocator(budget, terms, now) for budget in budgets}
+        self.budget_allocators = {budget.name: BudgetAllocator(budget, parameters, now) for budget in budgets}
 
     def handle_claim(self, process: ProcessKey, claim: Claim, now: int) -> Grants | None:
         """Returns the grants that answer a claim, or None if every row of it is outdated."""
@@ -41,6 +41,6 @@
 
     def metrics(self, now: int) -> dict[str, float]:
         """Returns the gauges of each budget, by metric name."""
-        return {f"budget.{name}.{metric}": value for name, allocator in self.budget_allocators.items() for metric, value in (
-            ("free", allocator.free(now)), ("unknown", allocator.unaccounted(now)),
-            ("accounts", len(allocator.accounts)))}
+        return {f"budget.{name}.{metric}": value for name, allocator in self.budget_allocators.items()
+                for metric, value in (("free", allocator.free(now)), ("unknown", allocator.unaccounted(now)),
+                                      ("accounts", len(allocator.accounts)))}
--- a/hollystage/decisions/budgets/budget_allocator.py
+++ b/hollystage/decisions/budgets/budget_allocator.py
@@ -1,8 +1,8 @@
 """The allocator's accounts of one budget: what each process is charged, and what may still be granted.
 
 A new allocator does not know what its predecessors granted. Units that no process has accounted for yet count as
-granted, until the longest grant and the longest use after it have certainly ended. Units that a process reports are
-known at once and can be granted to others.
+granted, until the longest grant and the longest use after it have certainly ended. Units that a process reports in
+a claim are accounted for from then on, and can be granted to others once that process gives them up.
 """
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 class BudgetAllocator:
     """Divides one budget and accounts for its units."""
 
-    def __init__(self, budget: Budget, terms: LeaseParameters, now: int) -> None:
-        self.budget, self.parameters, self.charge_duration = budget, terms, charge_duration(budget, terms)
+    def __init__(self, budget: Budget, parameters: LeaseParameters, now: int) -> None:
+        self.budget, self.parameters, self.charge_duration = budget, parameters, charge_duration(budget, parameters)
         self.recovering_until = now + self.charge_duration
         self.accounted_units = 0  # units granted by predecessors that processes have accounted for
         self.total_charge = 0  # sum of the charges of all accounts
@@ -70,7 +70,7 @@
                 self.refused += 1
                 return None
             account = self.accounts[process] = Account()
-            # only units granted to this process: units that it still uses or has borrowed may be reported by another
+            # only units granted to this process: others may report those that it still uses or has borrowed
             self.accounted_units += max(0, min(row.own, row.committed) - row.floor)
         elif request_id <= account.request_id:
             return None
@@ -80,7 +80,7 @@
         account.request_id, account.floor, account.expires_at, account.requested_at = (
             request_id, row.floor, now + self.charge_duration, now)
         account.need = credible_need(max(0, row.need - row.floor), max(0, row.in_use - row.floor), account.granted,
-                                account.need)
+                                     account.need)
         account.weight = max(1e-3, row.weight)
         self._update_targets(now)
         available = self.free(now) + account.charge
@@ -108,7 +108,8 @@
     def unsolicited_grants(self, now: int) -> list[tuple[ProcessKey, int, int]]:
         """Returns the grants to send without a new claim, as (process, request id, units including the floor).
 
-        Grants that reduce come first, then grants out of the free units to processes that lack units.
+        They reduce the units of processes that have more than their target, and grant free units to processes that
+        lack units.
         """
         self._update_targets(now)
         grants: list[tuple[ProcessKey, int, int]] = []
@@ -118,11 +119,12 @@
             if now >= account.expires_at or target == account.granted:
                 continue
             if target < account.granted:
+                # a process that needs all its units is not reduced for the sake of a single unit
                 if account.need < account.granted or target < account.granted - 1:
                     account.granted = target
                     grants.append((process, account.request_id, target + account.floor))
             elif account.granted < account.need:
-                # `available` may be negative: units that are charged twice (used by way of a loan) exist only once
+                # `available` may be negative: a unit used by way of a loan is charged to both processes
                 units = min(target, account.charge + available)
                 if units > account.granted:
                     available -= max(0, units - account.charge)
@@ -134,13 +136,13 @@
     def _drop_idle_accounts(self, now: int) -> bool:
         """Drops the accounts of processes that have not claimed for long and are charged nothing any more.
 
-        Drops none while predecessors' grants may be unaccounted for: a process whose account was dropped would report
-        its units a second time as a first report.
+        Drops none while predecessors' grants may be unaccounted for: the next claim of a process whose account was
+        dropped would account for the same units a second time.
         """
         if now < self.recovering_until:
             return False
-        idle = [process for process, account in self.accounts.items()
-                if now >= account.expires_at and now - account.requested_at > IDLE_GRANT_DURATIONS * self.parameters.duration]
+        idle = [process for process, account in self.accounts.items() if now >= account.expires_at
+                and now - account.requested_at > IDLE_GRANT_DURATIONS * self.parameters.duration]
         for process in idle:
             self._charge(self.accounts[process], 0)
             del self.accounts[process]
--- a/hollystage/decisions/budgets/claimant.py
+++ b/hollystage/decisions/budgets/claimant.py
@@ -1,8 +1,8 @@
 """The claimant: how one process obtains its units of all budgets.
 
-It sends a claim to the allocator once a period, and earlier if it lacks units or if units that it was asked to give
-up are free. The voters of the allocator's lease redirect it to the allocator. While there is no allocator, peers lend
-each other units that they do not use, and after a grant ends only the floor is left.
+It sends a claim to the allocator once a period, and earlier if it lacks units or if it no longer uses units that its
+grant was reduced by. The voters of the allocator's lease redirect it to the allocator. While there is no allocator,
+peers lend each other units that they do not use, and after a grant ends only the floor is left.
 """
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
 class Claimant:
     """Claims units of all budgets for the process named `me`. `voters` are those of the allocator's lease."""
 
-    def __init__(self, budgets: Iterable[Budget], terms: LeaseParameters, period: int, me: str, voters: tuple[str, ...],
-                 seed: int, now: int) -> None:
-        self.parameters, self.period, self.me, self.voters = terms, period, me, voters
+    def __init__(self, budgets: Iterable[Budget], parameters: LeaseParameters, period: int, me: str,
+                 voters: tuple[str, ...], seed: int, now: int) -> None:
+        self.parameters, self.period, self.me, self.voters = parameters, period, me, voters
         self.rng = random.Random(seed)
-        self.allocations = {budget.name: Allocation(budget, terms, now) for budget in budgets}
+        self.allocations = {budget.name: Allocation(budget, parameters, now) for budget in budgets}
         self.usages = {name: Usage(0, 0, 0, 1.0) for name in self.allocations}
         # since the last claim: number of usage reports, sum of the units in use, sum of the units needed
         self.usage_sums = dict.fromkeys(self.allocations, (0, 0, 0))
@@ -55,7 +55,7 @@
         self.next_at = now + int(self.rng.random() * period * 0.1)
         self.reported: dict[str, tuple[int, int, int]] = {}  # committed, in use and needed, as last claimed
         self.open_borrow_requests: dict[int, tuple[str, int]] = {}  # by request id: budget, time of the request
-        # loans set aside and not sent yet: borrower, loan, start of the loan's `remaining` time
+        # loans set aside and not sent yet: borrower, loan, time from which the loan's `remaining` counts
         self.pending_loans: list[tuple[str, Loan, int]] = []
         self.began = now
         self.counts = {"asked": 0, "answered": 0, "unanswered": 0, "borrowed": 0, "lent": 0, "outdated": 0}
@@ -104,7 +104,7 @@
             if lacks_units and (usage.in_use > in_use or usage.in_use + usage.waiting > need):
                 return True
             if allocation.committed(now) < committed:
-                return True  # units to give up are free, and other processes may wait for them
+                return True  # units can be given up, and other processes may be waiting for them
         return False
 
     def _send_claim(self, now: int) -> Outgoing:
@@ -115,11 +115,13 @@
         self.counts["asked"] += 1
         rows = []
         for name, allocation in self.allocations.items():
-            usage, committed, (reports, used, needed) = self.usages[name], allocation.committed(now), self.usage_sums[name]
-            # means, because units reserved for peaks would mostly lie idle; sudden needs are claimed early
+            usage, committed, (reports, used, needed) = (
+                self.usages[name], allocation.committed(now), self.usage_sums[name])
+            # means, because units claimed for peaks would be idle most of the time; sudden needs are claimed early
             in_use = max(usage.in_use if usage.waiting else 0, ceil(used / max(1, reports)))
             need = max(usage.in_use + usage.waiting if usage.waiting else 0, ceil(needed / max(1, reports)))
-            rows.append(ClaimRow(name, committed, allocation.own(now), allocation.floor(now), in_use, need, usage.weight))
+            rows.append(ClaimRow(name, committed, allocation.own(now), allocation.floor(now), in_use, need,
+                                 usage.weight))
             self.reported[name], self.usage_sums[name] = (committed, in_use, need), (0, 0, 0)
         return Outgoing(self.allocator_name or self.rng.choice(self.voters), Claim(self.request_id, self.epoch, rows))
 
@@ -149,7 +151,7 @@
         for grant in grants.grants:
             allocation = self.allocations.get(grant.name)
             if allocation is not None:
-                # the grant counts from the claim, also if it was sent later without a new claim
+                # the grant counts from the time of the claim, also if it was sent later without a new claim
                 allocation.apply_grant(grant.units, self.requested_at)
                 if self.first_grant_delay is None and grant.units:
                     self.first_grant_delay = now - self.began
@@ -169,7 +171,7 @@
     def _request_loans(self, peers: list[str], now: int) -> list[Outgoing]:
         out: list[Outgoing] = []
         self.open_borrow_requests = {request_id: row for request_id, row in self.open_borrow_requests.items()
-                          if now - row[1] < self.parameters.duration}
+                                     if now - row[1] < self.parameters.duration}
         for name, allocation in self.allocations.items():
             usage = self.usages[name]
             lacking = usage.in_use + usage.waiting - allocation.usable(now)
@@ -191,7 +193,7 @@
             self.pending_loans.append((sender, Loan(request.request_id, request.name, units, remaining), now))
 
     def _send_loans(self, now: int) -> list[Outgoing]:
-        """Returns the loans whose units are no longer used here. Loans that expired before that are dropped."""
+        """Returns the loans whose units can no longer be in use here. Loans that expired before that are dropped."""
         out: list[Outgoing] = []
         waiting: list[tuple[str, Loan, int]] = []
         for borrower, loan, since in self.pending_loans:
@@ -205,7 +207,8 @@
         return out
 
     def _receive_loan(self, loan: Loan, now: int) -> None:
-        request = self.open_borrow_requests.pop(loan.request_id, None)  # a loan counts once, even if its message is duplicated
+        # a loan counts once, even if its message is duplicated
+        request = self.open_borrow_requests.pop(loan.request_id, None)
         if request is not None and request[0] == loan.name:
             self.allocations[loan.name].add_borrowed(loan.units, loan.remaining, request[1])
             self.counts["borrowed"] += loan.units
--- a/hollystage/decisions/budgets/fair_shares.py
+++ b/hollystage/decisions/budgets/fair_shares.py
@@ -2,7 +2,7 @@
 
 The algorithm is progressive filling (Bertsekas and Gallager, "Data Networks", 1987, section 6.5): all shares grow in
 proportion to their weights until each process has what it needs. Units left over are spread as headroom, so that a
-burst needs no further claim.
+process can serve a burst without another claim.
 """
 from __future__ import annotations
 
@@ -53,8 +53,8 @@
     """Rounds shares to whole units by the largest remainder method."""
     rounded = {process: int(units + 1e-9) for process, units in shares.items()}
     unassigned = min(capacity, round(sum(shares.values()))) - sum(rounded.values())
-    for process in sorted(shares, key=lambda process: (rounded[process] - shares[process], process))[
-            :max(0, unassigned)]:
+    for process in sorted(
+            shares, key=lambda process: (rounded[process] - shares[process], process))[:max(0, unassigned)]:
         rounded[process] += 1
     return dict(sorted(rounded.items()))
 
--- a/hollystage/decisions/budgets/parameters.py
+++ b/hollystage/decisions/budgets/parameters.py
@@ -45,20 +45,22 @@
     def reserve(self) -> int:
         """Units reserved for new processes, which then need not wait for other grants to end.
 
-        >>> Budget("b", 40, 1, 12).reserve, Budget("b", 4, 0, 12).reserve, Budget("b", 3, 0, 3, kept=0.0).reserve
-        (2, 1, 0)
+        >>> Budget("b", 40, 1, 12).reserve, Budget("b", 4, 0, 12).reserve
+        (2, 1)
+        >>> Budget("b", 3, 0, 3, reserve_fraction=0.0).reserve
+        0
         """
         return min(self.grantable, ceil(self.reserve_fraction * self.grantable))
 
 
-def charge_duration(budget: Budget, terms: LeaseParameters) -> int:
+def charge_duration(budget: Budget, parameters: LeaseParameters) -> int:
     """Returns the time from an answer until its grant is certainly no longer in use, by the allocator's clock."""
-    return terms.duration + terms.safe_wait(budget.max_use_duration)
+    return parameters.duration + parameters.safe_wait(budget.max_use_duration)
 
 
-def floor_delay(budget: Budget, terms: LeaseParameters) -> int:
+def floor_delay(budget: Budget, parameters: LeaseParameters) -> int:
     """Returns the time from a process's start until it may use its floor.
 
     By then what an earlier process of the same name used or lent has certainly ended, by the new process's clock.
     """
-    return terms.safe_wait(terms.duration) + terms.safe_wait(budget.max_use_duration)
+    return parameters.safe_wait(parameters.duration) + parameters.safe_wait(budget.max_use_duration)
--- a/hollystage/decisions/budgets/participant.py
+++ b/hollystage/decisions/budgets/participant.py
@@ -27,14 +27,14 @@
     """
 
     def __init__(self, me: ProcessId, budgets: Iterable[Budget], grant_parameters: LeaseParameters, period: int,
-                 electorate: VoterSet, lease_parameters: LeaseParameters, seed: int, now: int, boot: int) -> None:
+                 voter_set: VoterSet, lease_parameters: LeaseParameters, seed: int, now: int, boot: int) -> None:
         self.me, self.budgets, self.grant_parameters = me, list(budgets), grant_parameters
-        is_voter = me.name in electorate.all_voters
-        self.voter_table = VoterTable(lease_parameters, electorate, now, boot) if is_voter else None
-        self.candidate = (Candidate(lease_parameters, me, electorate, seed, now, boot, LEASE_NAME)
-                     if me.name in electorate.voters else None)
+        is_voter = me.name in voter_set.all_voters
+        self.voter_table = VoterTable(lease_parameters, voter_set, now, boot) if is_voter else None
+        self.candidate = (Candidate(lease_parameters, me, voter_set, seed, now, boot, LEASE_NAME)
+                          if me.name in voter_set.voters else None)
         self.allocator: Allocator | None = None
-        self.claimant = Claimant(self.budgets, grant_parameters, period, me.name, electorate.all_voters, seed, now)
+        self.claimant = Claimant(self.budgets, grant_parameters, period, me.name, voter_set.all_voters, seed, now)
         self.next_grants_at = now
         self.times_allocator = 0  # times that this process became the allocator
 
@@ -64,7 +64,7 @@
         return self._deliver_local(self._dispatch(sender, message, now), now)
 
     def leave(self, now: int) -> list[Outgoing]:
-        """Gives the lease back before the process ends. The units are kept, they are needed to the end."""
+        """Gives the lease back before the process ends. The process needs its units until then and keeps them."""
         if self.candidate is None:
             return []
         self.candidate.wanted = False
@@ -75,12 +75,14 @@
     def _dispatch(self, sender: ProcessId, message: BudgetMessage | LeaseRequest | Reply, now: int) -> list[Outgoing]:
         match message:
             case Prepare() | Propose() | Release():
-                reply = self.voter_table.handle_request(message, now) if self.voter_table is not None and message.candidate == sender else None
+                reply = (self.voter_table.handle_request(message, now)
+                         if self.voter_table is not None and message.candidate == sender else None)
                 return [Outgoing(sender.name, reply)] if reply is not None else []
             case Reply():
                 if self.candidate is None or message.lease != LEASE_NAME:
                     return []
-                out = [Outgoing(voter, request) for voter, request in self.candidate.receive(sender.name, message, now)]
+                out = [Outgoing(voter, request)
+                       for voter, request in self.candidate.receive(sender.name, message, now)]
                 self._update_role(now)
                 return out
             case Claim():
@@ -94,8 +96,8 @@
         A lease that is acquired again under the same ballot was held by no other process in between, so the allocator
         keeps its accounts.
         """
-        held = self.candidate is not None and self.candidate.holds_lease(now)
-        if self.candidate is None or not held:
+        is_holder = self.candidate is not None and self.candidate.holds_lease(now)
+        if self.candidate is None or not is_holder:
             self.allocator = None
         elif self.allocator is None or self.allocator.epoch != self.candidate.ballot:
             self.allocator = Allocator(self.budgets, self.grant_parameters, self.candidate.ballot, now)
@@ -130,9 +132,9 @@
 
     def metrics(self, now: int) -> dict[str, float]:
         """Returns the gauges of the budgets, by metric name."""
-        claimant, found = self.claimant, {"budget.divides": float(self.allocator is not None)}
+        claimant, gauges = self.claimant, {"budget.divides": float(self.allocator is not None)}
         for name, allocation in claimant.allocations.items():
-            found |= {f"budget.{name}.part": allocation.own(now), f"budget.{name}.usable": allocation.usable(now),
-                      f"budget.{name}.using": allocation.in_use}
-        found |= {f"budget.{event}": count for event, count in claimant.counts.items()}
-        return found | (self.allocator.metrics(now) if self.allocator is not None else {})
+            gauges |= {f"budget.{name}.part": allocation.own(now), f"budget.{name}.usable": allocation.usable(now),
+                       f"budget.{name}.using": allocation.in_use}
+        gauges |= {f"budget.{event}": count for event, count in claimant.counts.items()}
+        return gauges | (self.allocator.metrics(now) if self.allocator is not None else {})
--- a/hollystage/decisions/leases/candidate.py
+++ b/hollystage/decisions/leases/candidate.py
@@ -1,7 +1,8 @@
 """The candidate side of a lease: requests it, renews it, gives it back, and retries after a lost round.
 
 The protocol follows PaxosLease (Trencseni, Gazso and Reinhardt, 2012), with Gray and Cheriton (1989) for leases
-without synchronized clocks and Chubby (Burrows, 2006) for numbers that fence off late acts of an earlier holder.
+without synchronized clocks and Chubby (Burrows, 2006) for fencing: the target of an act rejects late acts of an
+earlier holder by their smaller ballot.
 Times are microseconds of the process's own clock.
 """
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from .messages import LeaseRequest, Prepare, ProcessId, Propose, Release, Reply
 from .parameters import LeaseParameters, VoterSet
 
-MIN_BACKOFF_FRACTION, MAX_BACKOFF_FRACTION = 0.05, 0.25  # backoff after a failed round, as fractions of the lease duration
+MIN_BACKOFF_FRACTION, MAX_BACKOFF_FRACTION = 0.05, 0.25  # backoff after a failed round, of the lease duration
 RENEWAL_FRACTION = 0.4  # fraction of the holder duration after which the holder renews
 ROUND_TIMEOUT_FRACTION = 0.15  # time that a round waits for replies, as a fraction of the lease duration
 
@@ -19,23 +20,23 @@
 class Candidate:
     """One process that wants a lease or holds it.
 
-    `tick` returns the requests to send, `receive` handles the replies. Ballot numbers start above `floor`, such as
-    the boot number, so that a fleet that lost all its state continues above the ballots it used before.
+    `tick` returns the requests to send, `receive` handles the replies. Ballots start above `ballot_floor`, such as
+    the boot number, so that a fleet that lost all its state continues above the ballots that it used before.
     """
 
-    def __init__(self, terms: LeaseParameters, me: ProcessId, electorate: VoterSet, seed: int, now: int, floor: int,
-                 lease: str = "") -> None:
-        self.parameters, self.me, self.voter_set, self.lease = terms, me, electorate, lease
+    def __init__(self, parameters: LeaseParameters, me: ProcessId, voter_set: VoterSet, seed: int, now: int,
+                 ballot_floor: int, lease: str = "") -> None:
+        self.parameters, self.me, self.voter_set, self.lease = parameters, me, voter_set, lease
         self.rng = random.Random(seed)
-        self.highest_ballot = floor
+        self.highest_ballot = ballot_floor
         self.ballot = 0  # ballot of the lease held or of the current round
         self.phase = "idle"  # idle, preparing, proposing
         self.requested_at = self.request_id = self.holder_remaining = 0
         self.accepted_by: set[str] = set()
         self.rejected_by: set[str] = set()
         self.held_until = 0  # end of the lease held, by this process's clock
-        self.next_at = now
-        self.wanted = True
+        self.next_at = now  # when the next round or renewal is due, or the current one times out
+        self.wanted = True  # if false, the lease is released and not requested again
         self.gained = self.lost = 0  # times that the lease was acquired, and that it expired
 
     def holds_lease(self, now: int) -> bool:
@@ -47,7 +48,10 @@
         return self.ballot if now + duration < self.held_until else 0
 
     def on_fenced(self, ballot: int) -> None:
-        """Gives up the lease after the target of an act reported a greater ballot: all voters lost their state."""
+        """Gives up the lease because the target of an act reported a greater ballot.
+
+        This happens only if all voters lost their state.
+        """
         self.highest_ballot = max(self.highest_ballot, ballot)
         self.held_until = 0
 
@@ -69,7 +73,8 @@
         return self._start_phase("preparing", now)
 
     def _start_phase(self, phase: str, now: int) -> list[tuple[str, LeaseRequest]]:
-        self.phase, self.requested_at, self.accepted_by, self.rejected_by, self.holder_remaining = phase, now, set(), set(), 0
+        self.phase, self.requested_at, self.accepted_by, self.rejected_by, self.holder_remaining = (
+            phase, now, set(), set(), 0)
         self.request_id += 1
         self.next_at = now + int(ROUND_TIMEOUT_FRACTION * self.parameters.duration)
         request_type = Prepare if phase == "preparing" else Propose
@@ -77,7 +82,7 @@
                 for voter in self.voter_set.all_voters]
 
     def _back_off(self, now: int) -> list[tuple[str, LeaseRequest]]:
-        """Schedules the next round after a random backoff and releases what a minority granted."""
+        """Schedules the next round after a random backoff, and releases the grants of a minority of voters."""
         proposed = self.phase == "proposing"
         self.phase = "idle"
         backoff = int(self.rng.uniform(MIN_BACKOFF_FRACTION, MAX_BACKOFF_FRACTION) * self.parameters.duration)
@@ -99,7 +104,7 @@
         if reply.request_id != self.request_id or self.phase == "idle" or voter not in self.voter_set.all_voters:
             return []
         if reply.holder not in (None, self.me):
-            # another process holds the lease: no request can succeed before its grant may have ended
+            # another process holds the lease; a request before the end of its grant would be rejected
             self.holder_remaining = max(self.holder_remaining, reply.remaining)
         (self.accepted_by if reply.accepted else self.rejected_by).add(voter)
         if self.voter_set.is_quorum(self.accepted_by):
--- a/hollystage/decisions/leases/messages.py
+++ b/hollystage/decisions/leases/messages.py
@@ -46,9 +46,9 @@
 class Reply(msgspec.Struct, frozen=True, array_like=True, tag=33):
     """Answer of a voter.
 
-    `request_id`: of the request; a reply to an earlier request counts from an earlier time and is ignored;
-    `highest_ballot`: the greatest ballot that the voter has seen; `holder`: the process that holds the lease as far
-    as the voter knows; `remaining`: time left of that grant in microseconds of the voter's clock.
+    `request_id`: of the request. The lease counts from the time of the request, so the candidate ignores replies to
+    earlier requests; `highest_ballot`: the greatest ballot that the voter has seen; `holder`: the process that holds
+    the lease as far as the voter knows; `remaining`: time left of that grant in microseconds of the voter's clock.
     """
 
     request_id: int
@@ -65,7 +65,8 @@
 def is_valid(message: LeaseRequest | Reply) -> bool:
     """Returns whether the fields of a received message are within their bounds."""
     process = message.holder if isinstance(message, Reply) else message.candidate
-    numbers = [message.highest_ballot, message.request_id, message.remaining] if isinstance(message, Reply) else [message.ballot]
+    numbers = ([message.highest_ballot, message.request_id, message.remaining] if isinstance(message, Reply)
+               else [message.ballot])
     if isinstance(message, Prepare | Propose):
         numbers += [message.request_id, message.generation]
     return (len(message.lease) <= MAX_NAME_LENGTH and all(0 <= number < 1 << 62 for number in numbers)
--- a/hollystage/decisions/leases/parameters.py
+++ b/hollystage/decisions/leases/parameters.py
@@ -6,8 +6,8 @@
     a holder acts for                  duration * (1 - drift) / (1 + drift) - margin   of its clock, from its request;
     a granter waits before regranting  duration                                        of its clock, from its reply.
 
-In true time the first is at most duration / (1 + drift) and starts earlier; the second is at least that and starts
-later. Times are microseconds of each process's own clock.
+In true time the first is at most duration / (1 + drift) and starts earlier; the second is at least that long and
+starts later. Times are microseconds of each process's own clock.
 """
 from __future__ import annotations
 
@@ -33,13 +33,15 @@
     def usable_duration(self, remaining: int) -> int:
         """Converts the remaining time of another clock to a safe duration of this clock, counted from the request.
 
-        >>> LeaseParameters(drift=0.0, margin=0).usable_duration(1000), LeaseParameters(drift=0.01, margin=0).usable_duration(1_000_000)
-        (1000, 980198)
+        >>> LeaseParameters(drift=0.0, margin=0).usable_duration(1000)
+        1000
+        >>> LeaseParameters(drift=0.01, margin=0).usable_duration(1_000_000)
+        980198
         """
         return int(remaining * (1 - self.drift) / (1 + self.drift)) - self.margin
 
     def safe_wait(self, span: int) -> int:
-        """How long to wait by this clock until `span` of true time has certainly passed."""
+        """Returns how long to wait by this clock until `span` of true time has certainly passed."""
         return int(span * (1 + self.drift)) + 1
 
 
@@ -48,9 +50,9 @@
 
     A change of the set adds one voter or removes one, never both, so that majorities of the old and the new set
     intersect. While the previous set may still be in use (`previous` is not empty), majorities of both sets are
-    needed. A voter answers no candidate of an older generation than its own, and none of a generation more than one
-    ahead, so two changes never overlap. The operator must ensure that a further change begins only after every voter
-    runs the last one.
+    needed. A voter rejects the requests of a candidate whose generation is older than its own or more than one ahead,
+    so two changes never overlap. The operator must ensure that a further change begins only after every voter runs
+    the last one.
     """
 
     voters: tuple[str, ...]
@@ -63,15 +65,15 @@
         return tuple(dict.fromkeys((*self.voters, *self.previous)))
 
     def is_quorum(self, accepted_by: set[str]) -> bool:
-        """Returns whether these voters are a majority of every set that counts.
+        """Returns whether these voters are a majority of the set, and of the previous set if there is one.
 
         >>> VoterSet(("a", "b", "c", "d"), ("a", "b", "c"), 1).is_quorum({"a", "b"})
         False
         >>> VoterSet(("a", "b", "c")).is_quorum({"a", "b"})
         True
         """
-        return all(2 * len(accepted_by.intersection(voters)) > len(voters) for voters in (self.voters, self.previous) if
-        voters)
+        return all(2 * len(accepted_by.intersection(voters)) > len(voters)
+                   for voters in (self.voters, self.previous) if voters)
 
     def excludes_quorum(self, rejected_by: set[str]) -> bool:
         """Returns whether the remaining voters can no longer form a quorum."""
--- a/hollystage/decisions/leases/voter.py
+++ b/hollystage/decisions/leases/voter.py
@@ -14,15 +14,16 @@
 class Voter:
     """The state of one lease at one voter.
 
-    It accepts only ballots above `floor`, such as its boot number. `max_duration` is the longest duration that an
-    earlier process of this voter may have granted, where it exceeds the current one.
+    It accepts only ballots above `ballot_floor`, such as its boot number. `max_duration` is the longest duration that
+    an earlier process of this voter may have granted, if it exceeds the current one.
     """
 
-    def __init__(self, terms: LeaseParameters, started_at: int, floor: int, max_duration: int = 0) -> None:
-        self.parameters = terms
+    def __init__(self, parameters: LeaseParameters, started_at: int, ballot_floor: int,
+                 max_duration: int = 0) -> None:
+        self.parameters = parameters
         # a lease granted by an earlier process of this voter may still be held
-        self.blocked_until = started_at + max(max_duration, terms.duration)
-        self.highest_ballot = floor
+        self.blocked_until = started_at + max(max_duration, parameters.duration)
+        self.highest_ballot = ballot_floor
         self.promised: tuple[int, ProcessId] | None = None
         self.granted: tuple[int, ProcessId] | None = None
         self.granted_until = 0
@@ -33,7 +34,8 @@
 
     def _reply(self, request_id: int, accepted: bool, now: int) -> Reply:
         holder = self.holder(now)
-        return Reply(request_id, accepted, self.highest_ballot, holder, self.granted_until - now if holder is not None else 0)
+        return Reply(request_id, accepted, self.highest_ballot, holder,
+                     self.granted_until - now if holder is not None else 0)
 
     def prepare(self, request: Prepare, now: int) -> Reply:
         """Promises to accept no smaller ballot. Each ballot is promised to one process only.
@@ -66,11 +68,13 @@
 class VoterTable:
     """The voters of all leases of one process, by lease name.
 
-    A full table evicts a lease without a holder. Its greatest ballot is kept as the lower bound of all later leases.
+    A full table evicts a lease without a holder. Leases that are added later accept only ballots above the greatest
+    ballot of those evicted.
     """
 
-    def __init__(self, terms: LeaseParameters, electorate: VoterSet, started_at: int, floor: int) -> None:
-        self.parameters, self.voter_set, self.started_at, self.min_ballot = terms, electorate, started_at, floor
+    def __init__(self, parameters: LeaseParameters, voter_set: VoterSet, started_at: int, ballot_floor: int) -> None:
+        self.parameters, self.voter_set, self.started_at, self.ballot_floor = (
+            parameters, voter_set, started_at, ballot_floor)
         self.voters: dict[str, Voter] = {}
         self.refused = 0
 
@@ -89,25 +93,26 @@
             self.refused += 1
             return None
         reply = voter.propose(request, now) if isinstance(request, Propose) else voter.prepare(request, now)
-        return Reply(reply.request_id, reply.accepted, reply.highest_ballot, reply.holder, reply.remaining, request.lease)
+        return Reply(reply.request_id, reply.accepted, reply.highest_ballot, reply.holder, reply.remaining,
+                     request.lease)
 
     def _voter(self, lease: str, now: int) -> Voter | None:
         voter = self.voters.get(lease)
         if voter is None:
             if len(self.voters) >= MAX_LEASES and not self._evict_one(now):
                 return None
-            voter = self.voters[lease] = Voter(self.parameters, self.started_at, self.min_ballot)
+            voter = self.voters[lease] = Voter(self.parameters, self.started_at, self.ballot_floor)
         return voter
 
     def _evict_one(self, now: int) -> bool:
         """Evicts one lease without a holder and returns whether there was one.
 
-        Only its greatest ballot is kept, as the bound that the ballots of later leases must exceed. A promise without
-        a grant is evicted too: the proposal that may follow it is then rejected, which is safe.
+        Only its greatest ballot is kept, as `ballot_floor`. A lease that was promised but not granted may be evicted
+        too: the proposal that may follow the promise is then rejected, which is safe.
         """
         for name, voter in self.voters.items():
             if voter.holder(now) is None and now >= voter.blocked_until:
-                self.min_ballot = max(self.min_ballot, voter.highest_ballot)
+                self.ballot_floor = max(self.ballot_floor, voter.highest_ballot)
                 del self.voters[name]
                 return True
         return False
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -43,7 +43,8 @@
         for other in demands:
             # a process with an unmet need has no less per weight than another, up to the rounding to whole units
             if shares[demand.process] < demand.need and shares[other.process] - 1 > 0:
-                assert (shares[demand.process] + 1) / demand.weight >= (shares[other.process] - 1) / other.weight - 1e-6
+                assert ((shares[demand.process] + 1) / demand.weight
+                        >= (shares[other.process] - 1) / other.weight - 1e-6)
 
 
 def test_credible_need_is_stable_while_demand_is_steady():
@@ -62,16 +63,18 @@
 def test_new_process_gets_the_reserve_at_once_and_an_excessive_claim_is_limited_by_use():
     allocator = BudgetAllocator(BUDGET, GRANT_PARAMETERS, -10 ** 9)
     for request_id in range(1, 40):
-        assert allocator.handle_claim(A, row(allocator.accounts[A].granted + 1 if A in allocator.accounts else 1, 20, 40),
-                                 request_id, request_id * 200_000) > 0
-    assert allocator.accounts[A].granted == BUDGET.grantable - BUDGET.reserve and allocator.free(8_000_000) == BUDGET.reserve
+        assert allocator.handle_claim(
+            A, row(allocator.accounts[A].granted + 1 if A in allocator.accounts else 1, 20, 40), request_id,
+            request_id * 200_000) > 0
+    assert (allocator.accounts[A].granted == BUDGET.grantable - BUDGET.reserve
+            and allocator.free(8_000_000) == BUDGET.reserve)
     assert allocator.handle_claim(B, row(1, 0, 10), 1, 8_000_000) == 2
     other = BudgetAllocator(BUDGET, GRANT_PARAMETERS, -10 ** 9)
     for request_id in range(1, 10):
         other.handle_claim(A, row(1 + (other.accounts[A].granted if A in other.accounts else 0), 1, 1000), request_id,
-                      request_id * 200_000)
+                           request_id * 200_000)
         other.handle_claim(B, row(1 + (other.accounts[B].granted if B in other.accounts else 0), 8, 9), request_id,
-                      request_id * 200_000)
+                           request_id * 200_000)
     assert other.accounts[B].need == 8 and other.accounts[A].need <= 2
 
 
@@ -93,7 +96,8 @@
 def test_outdated_claim_is_not_answered_and_a_charge_expires():
     allocator = BudgetAllocator(BUDGET, GRANT_PARAMETERS, -10 ** 9)
     assert allocator.handle_claim(A, row(9, 8, 8), 5, 0) == 9
-    assert allocator.handle_claim(A, row(1, 0, 0), 4, 10) is None and allocator.handle_claim(A, row(1, 0, 0), 5, 10) is None
+    assert (allocator.handle_claim(A, row(1, 0, 0), 4, 10) is None
+            and allocator.handle_claim(A, row(1, 0, 0), 5, 10) is None)
     later = charge_duration(BUDGET, GRANT_PARAMETERS)
     allocator.handle_claim(B, row(1), 1, later - 1)
     assert allocator.accounts[A].charge == 8
@@ -104,9 +108,10 @@
 def test_new_allocator_grants_only_units_that_are_accounted_for():
     allocator = BudgetAllocator(BUDGET, GRANT_PARAMETERS, 0)
     assert allocator.free(0) == 0 and allocator.unaccounted(0) == 16
-    assert allocator.handle_claim(A, row(9, 8, 8), 1, 0) == 9 and allocator.unaccounted(1) == 8 and allocator.free(1) == 0
+    assert (allocator.handle_claim(A, row(9, 8, 8), 1, 0) == 9 and allocator.unaccounted(1) == 8
+            and allocator.free(1) == 0)
     assert allocator.handle_claim(B, row(1, 0, 10), 1, 1) == 1  # nothing may be granted yet
-    # borrowed units are reported by their lender, so they account for nothing
+    # borrowed units account for nothing, because their lender reports them
     assert allocator.handle_claim(C, row(6, 5, 6, own=1), 1, 2) is not None and allocator.unaccounted(3) == 8
     assert allocator.unaccounted(charge_duration(BUDGET, GRANT_PARAMETERS)) == 0
 
@@ -121,9 +126,11 @@
 
 def test_grant_expires_by_the_local_clock_and_the_floor_stays():
     allocation = make_allocation()
-    assert (allocation.usable(GRANT_PARAMETERS.holder_duration - 1), allocation.usable(GRANT_PARAMETERS.holder_duration)) == (6, 1)
+    assert (allocation.usable(GRANT_PARAMETERS.holder_duration - 1),
+            allocation.usable(GRANT_PARAMETERS.holder_duration)) == (6, 1)
     steps = allocation.steps(0)
-    assert [units_at(steps, now) for now in (0, GRANT_PARAMETERS.holder_duration - 1, GRANT_PARAMETERS.holder_duration)] == [6, 6, 1]
+    assert [units_at(steps, now) for now in (
+        0, GRANT_PARAMETERS.holder_duration - 1, GRANT_PARAMETERS.holder_duration)] == [6, 6, 1]
     new = Allocation(BUDGET, GRANT_PARAMETERS, 0)
     assert (new.usable(0), new.usable(floor_delay(BUDGET, GRANT_PARAMETERS))) == (0, 1)
     new.suspended = True
@@ -156,7 +163,8 @@
     assert lender.committed(1_000) == 6
     lender.applied_limit = 1
     assert lender.committed(GRANT_PARAMETERS.holder_duration + 1) == 2 + 2
-    assert lender.usable(GRANT_PARAMETERS.holder_duration + GRANT_PARAMETERS.safe_wait(BUDGET.max_use_duration) + 1) == 1
+    assert lender.usable(
+        GRANT_PARAMETERS.holder_duration + GRANT_PARAMETERS.safe_wait(BUDGET.max_use_duration) + 1) == 1
 
 
 def make_claimant(now=0, voters=("d",), **more):
@@ -217,7 +225,7 @@
     mild = seed % 2
     budget = call_budget(total=total or 2 * size + 6, floor=floor, max_processes=size, max_use_duration=250_000)
     world = BudgetSimulation(seed, size, [budget], voters=3, loss=(0.02 if mild else 0.08) if loss is None else loss,
-                  participant_class=participant, use_durations=(200_000, 249_000))
+                             participant_class=participant, use_durations=(200_000, 249_000))
     rng = world.rng
     for name in world.names:
         world.processes[name].need = rng.choice([0, 8, 30])
@@ -228,8 +236,9 @@
         match rng.randrange(9):
             case 0:
                 world.kill(name)
-                world.call_at(world.now + rng.randrange(50_000, 2_000_000), lambda name=name: world.processes[name].running or
-                         setattr(world.start(name), "need", 20))
+                world.call_at(
+                    world.now + rng.randrange(50_000, 2_000_000),
+                    lambda name=name: world.processes[name].running or setattr(world.start(name), "need", 20))
             case 1 | 2:
                 world.pause(name, rng.randrange(100_000, 3_000_000))
             case 3 if not mild:
@@ -291,7 +300,8 @@
     world.run(1.5)
     assert world.processes["m4"].participant.claimant.counts["borrowed"] > 0
     world.run(4)
-    assert 2 <= world.processes["m4"].participant.claimant.allocations["calls"].usable(world.processes["m4"].clock()) <= 6
+    assert 2 <= world.processes["m4"].participant.claimant.allocations["calls"].usable(
+        world.processes["m4"].clock()) <= 6
     assert not world.violations
     world.heal()
     world.processes["m4"].need = 25
@@ -361,11 +371,12 @@
 
 
 class FreesTooEarly(BudgetAllocator):
-    """Counts units as free as soon as they are to be given up."""
+    """Counts units as free as soon as a grant is reduced, although they may still be in use."""
 
     def handle_claim(self, process, row, request_id, now):
-        return super().handle_claim(process, ClaimRow(row.name, min(row.committed, row.own), row.own, row.floor, row.in_use,
-                                                 row.need, row.weight), request_id, now)
+        return super().handle_claim(
+            process, ClaimRow(row.name, min(row.committed, row.own), row.own, row.floor, row.in_use, row.need,
+                              row.weight), request_id, now)
 
 
 class ChargesLastGrant(BudgetAllocator):
@@ -433,7 +444,8 @@
 
 SEEDS = range(85, 130)
 RANDOM_FAULTS = {
-    "forgets-predecessors": dict(budget_allocator=ForgetsPredecessors), "frees-too-early": dict(budget_allocator=FreesTooEarly),
+    "forgets-predecessors": dict(budget_allocator=ForgetsPredecessors),
+    "frees-too-early": dict(budget_allocator=FreesTooEarly),
     "charges-last-grant": dict(budget_allocator=ChargesLastGrant), "ignores-drift": dict(allocation=IgnoresDrift),
     "uses-lent-units": dict(allocation=UsesLentUnits)}
 
@@ -463,18 +475,22 @@
 
 
 def explore(depth, max_states=1 << 60, **more):
-    return search(BudgetModel(rates={"m0": SLOW_CLOCK, "m1": FAST_CLOCK, "m2": SLOW_CLOCK, "d": FAST_CLOCK}, **more), depth, max_states)
+    return search(BudgetModel(rates={"m0": SLOW_CLOCK, "m1": FAST_CLOCK, "m2": SLOW_CLOCK, "d": FAST_CLOCK}, **more),
+                  depth, max_states)
 
 
 SEARCH_FAULTS = {
     "forgets-predecessors": dict(allocator=allocator_with(ForgetsPredecessors), message_faults=1, crashes=0),
     "charges-last-grant": dict(allocator=allocator_with(ChargesLastGrant), message_faults=1, crashes=0),
     "frees-too-early": dict(allocator=allocator_with(FreesTooEarly), message_faults=0, crashes=0),
-    "ignores-use-duration": dict(allocator=allocator_with(IgnoresUseDuration), message_faults=0, crashes=0, members=2),
+    "ignores-use-duration": dict(allocator=allocator_with(IgnoresUseDuration), message_faults=0, crashes=0,
+                                 members=2),
     "under-reports": dict(claimant=claimant_with(UnderReports), message_faults=0, crashes=0),
     "early-floor": dict(claimant=claimant_with(allocation=EarlyFloor), message_faults=0, crashes=1, floor=1),
-    "uses-lent-units": dict(claimant=claimant_with(allocation=UsesLentUnits), message_faults=0, crashes=0, members=2, lends=True),
-    "counts-loan-twice": dict(claimant=claimant_with(CountsLoanTwice), message_faults=1, crashes=0, members=2, lends=True)}
+    "uses-lent-units": dict(claimant=claimant_with(allocation=UsesLentUnits), message_faults=0, crashes=0, members=2,
+                            lends=True),
+    "counts-loan-twice": dict(claimant=claimant_with(CountsLoanTwice), message_faults=1, crashes=0, members=2,
+                              lends=True)}
 
 
 @pytest.mark.parametrize("name", SEARCH_FAULTS)
@@ -484,8 +500,8 @@
 
 
 @pytest.mark.parametrize("more", [
-    dict(message_faults=1, crashes=1), dict(message_faults=1, crashes=1, floor=1, lends=True, members=2), dict(message_faults=0, crashes=0,
-    lends=True), dict(message_faults=0, crashes=0, members=2)])
+    dict(message_faults=1, crashes=1), dict(message_faults=1, crashes=1, floor=1, lends=True, members=2),
+    dict(message_faults=0, crashes=0, lends=True), dict(message_faults=0, crashes=0, members=2)])
 def test_exhaustive_search_never_exceeds_the_total(more):
     found = explore(9, 6_000, **more)
     assert found.trace is None and found.states == 6_000
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -39,7 +39,8 @@
             self._candidate(f"s{n}")
 
     def _clock(self, name):
-        self.clocks[name] = (self.rng.choice([1 - PARAMETERS.drift, 1 + PARAMETERS.drift]), self.rng.randrange(1 << 40))
+        self.clocks[name] = (
+            self.rng.choice([1 - PARAMETERS.drift, 1 + PARAMETERS.drift]), self.rng.randrange(1 << 40))
 
     def local_time(self, name):
         rate, offset = self.clocks[name]
@@ -53,8 +54,9 @@
     def _candidate(self, name):
         self._clock(name)
         self.boots += 1
-        self.candidates[name] = self.classes[1](PARAMETERS, ProcessId(name, self.boots), VoterSet(tuple(self.voter_names)),
-                                                self.rng.getrandbits(32), self.local_time(name), self.boots)
+        self.candidates[name] = self.classes[1](
+            PARAMETERS, ProcessId(name, self.boots), VoterSet(tuple(self.voter_names)), self.rng.getrandbits(32),
+            self.local_time(name), self.boots)
 
     def schedule(self, when, callback):
         self.sequence += 1
@@ -65,7 +67,7 @@
             return
         late = self.rng.random() < 2 * self.loss
         for _ in range(1 + (self.rng.random() < self.loss)):
-            slow = self.rng.random() < 0.3  # but within the timeout of a round
+            slow = self.rng.random() < 0.3  # still within the timeout of a round
             self.schedule(self.now + self.rng.randrange(1_000, 1_500_000 if late else 140_000 if slow else 5_000),
                           callback)
 
@@ -151,12 +153,14 @@
     world.run(0.02)
     assert not world.candidates[name].holds_lease(world.local_time(name))
     world.run(2.5)
-    other = next(name for name, candidate in world.candidates.items() if candidate.holds_lease(world.local_time(name)))
+    other = next(
+        name for name, candidate in world.candidates.items() if candidate.holds_lease(world.local_time(name)))
     assert other != name
     crashed = world.candidates.pop(other)
     world.candidates[name].wanted = True
     world.run(2.5)
-    assert world.candidates[name].holds_lease(world.local_time(name)) and world.candidates[name].ballot > crashed.ballot
+    assert (world.candidates[name].holds_lease(world.local_time(name))
+            and world.candidates[name].ballot > crashed.ballot)
 
 
 def test_no_ballot_for_an_act_past_the_lease_and_a_fenced_candidate_uses_a_greater_one():
@@ -260,9 +264,11 @@
         return super().prepare(request, now)
 
 
-@pytest.mark.parametrize("kind", [CountsFromReply, IgnoresDrift, HalfQuorum, AcceptsStaleReply, ActsAfterRelease, GrantsAfterRestart, ForgetsGrant, ExpiresEarly, ReusesBallot])
-def test_random_schedules_detect_a_seeded_fault(kind):
-    role = {"voter" if issubclass(kind, Voter) else "candidate": kind}
+@pytest.mark.parametrize("fault", [
+    CountsFromReply, IgnoresDrift, HalfQuorum, AcceptsStaleReply, ActsAfterRelease, GrantsAfterRestart, ForgetsGrant,
+    ExpiresEarly, ReusesBallot])
+def test_random_schedules_detect_a_seeded_fault(fault):
+    role = {"voter" if issubclass(fault, Voter) else "candidate": fault}
     assert any(World(seed, candidates=3, eager=True, **role).run(15).violations for seed in range(120))
 
 
@@ -333,20 +339,22 @@
 def explore(depth, voter=Voter, candidate=Candidate, clocks=None, **more):
     from benchmarks.explore import FAST_CLOCK, SLOW_CLOCK, LeaseModel, search
 
-    rates = {"s0": SLOW_CLOCK, "s1": FAST_CLOCK, "v0": FAST_CLOCK, "v1": FAST_CLOCK, "v2": FAST_CLOCK} if clocks is None else clocks
+    rates = {"s0": SLOW_CLOCK, "s1": FAST_CLOCK, "v0": FAST_CLOCK, "v1": FAST_CLOCK,
+             "v2": FAST_CLOCK} if clocks is None else clocks
     return search(LeaseModel(voter, candidate, rates=rates, **more), depth)
 
 
 def test_exhaustive_search_finds_at_most_one_holder_and_a_holder_after_faults_end():
     from benchmarks.explore import FAST_CLOCK, SLOW_CLOCK, LeaseModel, search
 
-    model = LeaseModel(rates={"s0": SLOW_CLOCK, "s1": FAST_CLOCK, "v0": FAST_CLOCK, "v1": SLOW_CLOCK, "v2": FAST_CLOCK}, message_faults=2, crashes=1)
+    model = LeaseModel(rates={"s0": SLOW_CLOCK, "s1": FAST_CLOCK, "v0": FAST_CLOCK, "v1": SLOW_CLOCK,
+                              "v2": FAST_CLOCK}, message_faults=2, crashes=1)
     stuck = []
 
-    def each(state, number):
+    def check_liveness(state, number):
         if number % 400 == 0 and not model.eventually_held(state):
             stuck.append(state)
-    found = search(model, 6, 6_000, on_state=each)
+    found = search(model, 6, 6_000, on_state=check_liveness)
     assert found.trace is None and found.states >= 6_000 and not stuck
 
 
@@ -370,9 +378,10 @@
         assert acquires_with(changed_set, {"v2", "v3", "v4"}, voters, OTHER, 2) is second_acquires
 
 
-@pytest.mark.parametrize("kind", [IgnoresDrift, HalfQuorum, ActsAfterRelease, GrantsAfterRestart, ForgetsGrant, ExpiresEarly, ReusesBallot])
-def test_explorer_finds_a_short_trace_for_a_seeded_fault(kind):
-    role = {"voter" if issubclass(kind, Voter) else "candidate": kind}
-    odd, crashes = {HalfQuorum: 1, GrantsAfterRestart: 1}.get(kind, 0), int(kind is GrantsAfterRestart)
-    found = explore(10, message_faults=odd, crashes=crashes, **role)
+@pytest.mark.parametrize("fault", [
+    IgnoresDrift, HalfQuorum, ActsAfterRelease, GrantsAfterRestart, ForgetsGrant, ExpiresEarly, ReusesBallot])
+def test_explorer_finds_a_short_trace_for_a_seeded_fault(fault):
+    role = {"voter" if issubclass(fault, Voter) else "candidate": fault}
+    message_faults, crashes = {HalfQuorum: 1, GrantsAfterRestart: 1}.get(fault, 0), int(fault is GrantsAfterRestart)
+    found = explore(10, message_faults=message_faults, crashes=crashes, **role)
     assert found.trace and len(found.trace) <= 11
