--- a/hollystage/decisions/budgets/allocation.py
+++ b/hollystage/decisions/budgets/allocation.py
@@ -21,7 +21,7 @@
         # an earlier process of the same name may still use its floor or have lent it
         self.floor_available_at = started_at + floor_delay(budget, parameters)
         self.suspended = False  # true while another process has the same name; nothing may be used then
-        self.in_use = self.applied_limit = 0  # both as they were at the same moment
+        self.in_use = self.applied_limit = 0  # of the same report of the decision module
         self.loans_given: list[tuple[int, int]] = []  # (end of the loan and of the longest use after it, units)
         self.loans_taken: list[tuple[int, int]] = []  # (end of the loan, units)
 
@@ -86,6 +86,7 @@
         units = min(units, idle - idle // 2)
         if units <= 0 or self.suspended:
             return 0, 0
+        # without a grant the units are of the floor, which does not expire: they are lent for one grant duration
         remaining = self.granted_until - now if now < self.granted_until else self.parameters.duration
         self.loans_given.append((now + remaining + self.parameters.safe_wait(self.budget.max_use_duration), units))
         return units, remaining
--- a/hollystage/decisions/leases/candidate.py
+++ b/hollystage/decisions/leases/candidate.py
@@ -2,8 +2,7 @@
 
 The protocol follows PaxosLease (Trencseni, Gazso and Reinhardt, 2012), with Gray and Cheriton (1989) for leases
 without synchronized clocks and Chubby (Burrows, 2006) for fencing: the target of an act rejects late acts of an
-earlier holder by their smaller ballot.
-Times are microseconds of the process's own clock.
+earlier holder by their smaller ballot. Times are microseconds of the process's own clock.
 """
 from __future__ import annotations
 
@@ -12,7 +11,7 @@
 from .messages import LeaseRequest, Prepare, ProcessId, Propose, Release, Reply
 from .parameters import LeaseParameters, VoterSet
 
-MIN_BACKOFF_FRACTION, MAX_BACKOFF_FRACTION = 0.05, 0.25  # backoff after a failed round, of the lease duration
+MIN_BACKOFF_FRACTION, MAX_BACKOFF_FRACTION = 0.05, 0.25  # backoff after a failed round, in lease durations
 RENEWAL_FRACTION = 0.4  # fraction of the holder duration after which the holder renews
 ROUND_TIMEOUT_FRACTION = 0.15  # time that a round waits for replies, as a fraction of the lease duration
 
@@ -104,7 +103,7 @@
         if reply.request_id != self.request_id or self.phase == "idle" or voter not in self.voter_set.all_voters:
             return []
         if reply.holder not in (None, self.me):
-            # another process holds the lease; a request before the end of its grant would be rejected
+            # another process holds the lease: voters reject requests until its grant ends
             self.holder_remaining = max(self.holder_remaining, reply.remaining)
         (self.accepted_by if reply.accepted else self.rejected_by).add(voter)
         if self.voter_set.is_quorum(self.accepted_by):
--- a/hollystage/decisions/leases/parameters.py
+++ b/hollystage/decisions/leases/parameters.py
@@ -76,14 +76,14 @@
                    for voters in (self.voters, self.previous) if voters)
 
     def excludes_quorum(self, rejected_by: set[str]) -> bool:
-        """Returns whether the remaining voters can no longer form a quorum."""
+        """Returns whether the voters that have not rejected can no longer form a quorum."""
         return not self.is_quorum(set(self.all_voters) - rejected_by)
 
 
-def differ_by_one_voter(before: tuple[str, ...], voters: tuple[str, ...]) -> bool:
-    """Returns whether two sets of voters differ by exactly one voter.
+def differ_by_one_voter(before: tuple[str, ...], after: tuple[str, ...]) -> bool:
+    """Returns whether exactly one voter was added or removed.
 
     >>> differ_by_one_voter(("a", "b", "c"), ("a", "b", "c", "d")), differ_by_one_voter(("a", "b"), ("a", "c"))
     (True, False)
     """
-    return len(set(before) ^ set(voters)) == 1
+    return len(set(before) ^ set(after)) == 1
--- a/hollystage/decisions/leases/voter.py
+++ b/hollystage/decisions/leases/voter.py
@@ -66,7 +66,7 @@
 
 
 class VoterTable:
-    """The voters of all leases of one process, by lease name.
+    """The leases that one process votes on, with their state at this voter, by lease name.
 
     A full table evicts a lease without a holder. Leases that are added later accept only ballots above the greatest
     ballot of those evicted.
