--- a/hollystage/control.py
+++ b/hollystage/control.py
@@ -22,8 +22,8 @@
 LONG_QUEUE_SHARE = 0.25
 MAX_REMEMBERED_CALLERS = 4096
 MIN_IDLE_LIMIT = 10_000  # shortest idle limit of connections, microseconds
-# shares of the longest latency target that RPCs lie unread: above the first one connections are kept, even if
-# the table of connections fills up, until the share falls below the second one
+# mean unread time as a share of the longest latency target: above the first value idle connections are kept
+# for the configured time, even if the table of connections fills up, until it falls below the second value
 READING_LATE_ABOVE = 0.3
 READING_LATE_UNTIL = 0.01
 
@@ -40,7 +40,8 @@
         # congruential generator
         jitter = (seed * 6364136223846793005 + 1442695040888963407 & (1 << 64) - 1) >> 33
         self.actions.append(Action(ActionKind.TIMER, duration=1 + (jitter * TICK >> 31)))
-        # the same for their first downstream calls, over the duration assumed before any call was made
+        # the same for their first downstream calls: a debt of up to half the shortest target, which is the
+        # duration assumed for a call before any was made
         self.pacer.debt = float(jitter * (self.min_target // 2) >> 31)
 
     # Events
@@ -129,7 +130,11 @@
         self._resume(rpc, GONE)
 
     def update_pools(self, pooling: PoolConfig | None, now: int) -> None:
-        """Replaces the pools; None removes them. Runs continue; queued RPCs go to the heir of their pool."""
+        """Replaces the pools; None removes them.
+
+        Runs continue. RPCs that are queued or wait for a call go to the pool that takes over theirs: the one of
+        the same name, else its heir.
+        """
         self.now, previous, queues = now, self.pools, (*self.run_queues, *self.call_queues)
         if previous is not None and pooling is None:
             previous.close()
@@ -277,7 +282,8 @@
         """Adapts how long idle connections are kept."""
         # keeps the table of connections from overflowing: where few RPCs come from callers that were seen
         # recently, a kept connection is seldom used again; harmful where callers come in bursts. A full table
-        # refuses attempts unread, which has a cost, but a smaller one than reading RPCs that are too late
+        # refuses connections before their RPCs are read; while RPCs are read too late anyway, that costs less
+        # than reading them
         self.reading_late = self.unread_times.mean(self.now) > (
             READING_LATE_UNTIL if self.reading_late else READING_LATE_ABOVE) * self.max_target
         factor = (1.0 if self.reading_late
--- a/hollystage/decisions/calls/limits.py
+++ b/hollystage/decisions/calls/limits.py
@@ -157,7 +157,7 @@
     A congestion signal decreases the limit to nine tenths.
     """
 
-    BASELINE_SPAN = 10_000_000
+    BASELINE_SPAN = 10_000_000  # microseconds
 
     def __init__(self, start: float, min_value: float, max_value: float, now: int = 0) -> None:
         super().__init__(start, min_value, max_value, now)
@@ -188,7 +188,7 @@
     """Scales the limit by the ratio of minimum to current latency, and adds its square root for a short queue."""
 
     TOLERANCE = 1.5  # multiple of the minimum latency up to which the limit is not scaled down
-    SMOOTHING = 0.2
+    SMOOTHING = 0.2  # share of the difference to the goal that is closed per round trip
 
     def _adjust(self, gradient: float, is_used: bool) -> None:
         if is_used:
--- a/hollystage/decisions/calls/pacing.py
+++ b/hollystage/decisions/calls/pacing.py
@@ -43,7 +43,7 @@
 
     @property
     def max_call_duration(self) -> int:
-        """Longest allowed duration of one call: the whole span if the limit is at least 1, else that share of it.
+        """Longest allowed duration of one call: the span, multiplied by the limit if that is below 1.
 
         A span then contains the time of at most one such call, since the pause after it fills the rest of the span.
         """
--- a/hollystage/decisions/calls/pools.py
+++ b/hollystage/decisions/calls/pools.py
@@ -25,7 +25,8 @@
 USAGE_DECAY_TIME = 1_000_000  # microseconds; time constant of the mean usage, which is compared with guarantees
 COST_HYSTERESIS = 0.8  # a method replaces another in the reserve only if its cost is below this share of the other's
 NO_POOL = -1
-NOT_STARTED, ON_CORES, AWAITING_CALL, IN_CALL = range(4)  # states of an RPC that differ in the slots they use
+# states of an RPC that differ in the slots they use; an RPC that has ended counts as NOT_STARTED
+NOT_STARTED, ON_CORES, AWAITING_CALL, IN_CALL = range(4)
 
 
 @dataclass(slots=True)
@@ -367,7 +368,7 @@
     def below_guarantee(self, rpc: Rpc, limit: float, now: int) -> bool:
         """Returns whether the RPC's pool is below its guarantee.
 
-        RPCs are rejected by their latency class only if their pool is not.
+        RPCs are rejected for their class level only if their pool is not.
         """
         number = rpc.pool_ref.find() if rpc.pool_ref is not None else NO_POOL
         return number != NO_POOL and self.cores.below_guarantee(number, limit, now)
@@ -375,8 +376,8 @@
     def estimated_wait(self, rpc: Rpc, pool_work: float, total_work: float, limit: float) -> float:
         """Returns how long the RPC will be queued, in microseconds.
 
-        This is the shorter of two times: the queued work of its pool, divided by the guaranteed slots, and all queued
-        work with smaller tags, divided by all slots. `pool_work`, `total_work`: that work, in microseconds.
+        This is the shorter of two times: `pool_work` divided by the guaranteed slots, and `total_work` divided by all
+        slots. `pool_work`, `total_work`: work queued ahead of the RPC in its pool and in all pools, in microseconds.
         """
         number = rpc.pool_ref.find() if rpc.pool_ref is not None else NO_POOL
         if number == NO_POOL:
--- a/hollystage/interface.py
+++ b/hollystage/interface.py
@@ -188,12 +188,12 @@
         call_averaging_span: Span over which the dependency averages its concurrent calls, microseconds.
         linger: How long the dependency may keep working on a call that was abandoned, microseconds.
         gauges: Names of the gauges that the interpreter reports, in order.
-        max_retry_after: Longest advice when to retry, microseconds; 0 for no advice.
+        max_retry_after: Longest time that callers are advised to wait before a retry, microseconds; 0 for no advice.
         max_idle: Longest idle time of a kept connection, microseconds; 0 for no limit.
         pooling: The pools; None for a single queue.
         call_limit: The limit on concurrent downstream calls.
         criticality_per_work: Whether criticality is counted for each unit of work instead of for each RPC.
-        promises: Whether an advice when to retry reserves capacity for that time.
+        promises: Whether capacity is reserved for the time at which a caller is advised to retry.
         downstream_tier: Whether calls go to a tier of servers that limit their own load instead of to a shared
             dependency.
     """
--- a/hollystage/policy/estimates.py
+++ b/hollystage/policy/estimates.py
@@ -60,12 +60,15 @@
         return self.rejections.mean(self.now) > share
 
     def _peers_likely_overloaded(self) -> bool:
-        """Whether other servers are likely overloaded too: many RPCs are rejected here, some were elsewhere.
+        """Whether other servers are likely overloaded too.
+
+        They are if many RPCs are rejected here, some of the read ones were rejected elsewhere before, and no
+        peer reports spare capacity.
 
         If the whole fleet is overloaded, callers must not retry elsewhere, or the servers read the same RPCs
         again and again. If this server alone is overloaded (popular subjects, a slow core), they should. If
         callers neither mark retries nor send their timeout, the two cases look alike: then only a part of the
-        rejected RPCs goes elsewhere, too few to flood overloaded peers, enough to relieve a single server.
+        read RPCs is sent elsewhere, too few to flood overloaded peers, enough to relieve a single server.
         """
         peers_overloaded = (self.likely_retries.mean(self.now) > RETRIES_UNDER_PRESSURE
                             or self.redirects.mean(self.now) > HIGH_REJECT_SHARE)
@@ -135,7 +138,7 @@
         return self.run_times[method].mean(self.now, 1e6 / INITIAL_RATE, PRIOR_WEIGHT)
 
     def _expected_work(self, rpc: Rpc) -> float:
-        """Expected time of this RPC on the cores: its work hint at the measured pace, else the usual cost."""
+        """Expected time of this RPC on the cores: its work hint times the measured ratio, else the usual cost."""
         return (rpc.work_hint * self.work_per_hint.mean(self.now, 1.0, 1e6) if rpc.work_hint
                 else self._usual_cost(rpc.method))
 
--- a/hollystage/policy/lifecycle.py
+++ b/hollystage/policy/lifecycle.py
@@ -55,7 +55,8 @@
             if event is AT_CALL and not rpc.answered:
                 event = yield from self._make_calls(rpc)
                 continue
-            # an RPC that ran is rejected only if it may run again; halted unless a repeat may join its run
+            # a started RPC is rejected only if it may run again, else aborted; its run is halted unless a
+            # repeat may join it
             if not rpc.answered and event is not GONE:
                 may_repeat = event is DROP and method.kind is MethodKind.IDEMPOTENT
                 self.actions.append(
--- a/hollystage/policy/queues.py
+++ b/hollystage/policy/queues.py
@@ -15,7 +15,7 @@
 # default bounds of the call limit, as shares of the concurrent calls that this instance may make
 MIN_LIMIT_SHARE = 0.1
 MAX_LIMIT_SHARE = 0.9
-# states that the pools keep account of
+# states that the pools track
 POOL_STATES = {RUNNING: ON_CORES, WAITING: AWAITING_CALL, CALLING: IN_CALL}
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -160,7 +160,8 @@
     harness = ControlHarness()
     running, queued = harness.fill(), harness.send(timeout=5 * SECOND)
     queued.target += 5 * SECOND
-    assert not any(a.kind is ActionKind.HEALTH for a in harness.advance(2 * SECOND))  # a single long run is no hang
+    # no hang is detected before the longest target has passed without progress
+    assert not any(a.kind is ActionKind.HEALTH for a in harness.advance(2 * SECOND))
     assert any(a.kind is ActionKind.HEALTH and not a.flag for a in harness.advance(SECOND))
     assert REJECT in harness.did(queued) and REJECT in harness.did(running[0])
     assert harness.did(harness.send()) == [REJECT]
@@ -273,7 +274,7 @@
     harness.now += 200_000
     harness.end_call(first, Outcome.OK, duration=200_000)
     harness.at_call(second)
-    pause = 200_000 * (1 - before) / harness.control.call_limit.value  # the debt of the first call over the limit now
+    pause = 200_000 * (1 - before) / harness.control.call_limit.value  # until the first call's debt is zero
     harness.advance(int(pause) - 2 * TICK)
     assert ActionKind.CALL not in harness.did(second)
     harness.advance(3 * TICK)
@@ -496,7 +497,7 @@
             rpc = harness.send(method)
             harness.now += cost
             harness.end(rpc)
-    for _ in range(400):  # of both methods far more than the cores can take
+    for _ in range(400):  # far more of both methods than the cores can take
         harness.send(short)
         harness.send(long)
     harness.advance(SECOND)
@@ -519,7 +520,7 @@
     harness = ControlHarness(lookup(latency_target=SECOND // 2), memory=200.0)
     for n in range(90):
         harness.send(is_retry=n < retries)
-    # without marked retries a quarter of the rejected RPCs may retry elsewhere
+    # without marked retries a quarter of all RPCs, nearly all of which are rejected, may retry elsewhere
     flags = [a.flag for a in harness.actions if a.kind is REJECT]
     assert len(flags) > 80 and flags[-1] and abs(flags.count(False) - redirected) <= 3
 
