--- a/hollystage/control.py
+++ b/hollystage/control.py
@@ -132,8 +132,8 @@
     def update_pools(self, pooling: PoolConfig | None, now: int) -> None:
         """Replaces the pools; None removes them.
 
-        Runs continue. RPCs that are queued or wait for a call go to the pool that takes over theirs: the one of
-        the same name, else its heir.
+        Runs continue. RPCs that are queued or wait for a call go to the pool that takes over theirs: the one
+        of the same name, else its heir.
         """
         self.now, previous, queues = now, self.pools, (*self.run_queues, *self.call_queues)
         if previous is not None and pooling is None:
--- a/hollystage/decisions/calls/limits.py
+++ b/hollystage/decisions/calls/limits.py
@@ -49,7 +49,8 @@
     def on_stall(self, now: int) -> None:
         """Reports that this process was suspended until `now`.
 
-        Calls that started earlier ended late for that reason, so their results are ignored.
+        Calls that started earlier ended late for that reason; all adaptive limits except `WindowLimit` ignore their
+        results.
         """
 
 
@@ -60,7 +61,7 @@
         self.decreased_at = now
         self.min_value, self.max_value = max(0.001, min_value), max(0.001, min_value, max_value)
         self.value = max(self.min_value, min(start, self.max_value))
-        self.ignore_until = 0  # results of calls that started earlier are ignored
+        self.ignore_until = 0  # subclasses other than WindowLimit ignore results of calls that started earlier
 
     def set_bounds(self, min_value: float, max_value: float) -> None:
         self.min_value, self.max_value = max(0.001, min_value), max(0.001, min_value, max_value)
--- a/hollystage/policy/estimates.py
+++ b/hollystage/policy/estimates.py
@@ -62,8 +62,8 @@
     def _peers_likely_overloaded(self) -> bool:
         """Whether other servers are likely overloaded too.
 
-        They are if many RPCs are rejected here, some of the read ones were rejected elsewhere before, and no
-        peer reports spare capacity.
+        They are if many RPCs are rejected here, some of the read ones were rejected elsewhere before, and
+        peers do not report spare capacity.
 
         If the whole fleet is overloaded, callers must not retry elsewhere, or the servers read the same RPCs
         again and again. If this server alone is overloaded (popular subjects, a slow core), they should. If
@@ -138,7 +138,7 @@
         return self.run_times[method].mean(self.now, 1e6 / INITIAL_RATE, PRIOR_WEIGHT)
 
     def _expected_work(self, rpc: Rpc) -> float:
-        """Expected time of this RPC on the cores: its work hint times the measured ratio, else the usual cost."""
+        """Expected time of this RPC on the cores: its hint times the measured ratio, else the usual cost."""
         return (rpc.work_hint * self.work_per_hint.mean(self.now, 1.0, 1e6) if rpc.work_hint
                 else self._usual_cost(rpc.method))
 
