--- a/hollystage/decisions/calls/limits.py
+++ b/hollystage/decisions/calls/limits.py
@@ -49,7 +49,8 @@
     def on_stall(self, now: int) -> None:
         """Reports that this process was suspended until `now`.
 
-        Calls that started earlier ended late for that reason, so their results are ignored.
+        Calls that started earlier ended late for that reason; all adaptive limits except `WindowLimit` ignore their
+        results.
         """
 
 
@@ -60,7 +61,7 @@
         self.decreased_at = now
         self.min_value, self.max_value = max(0.001, min_value), max(0.001, min_value, max_value)
         self.value = max(self.min_value, min(start, self.max_value))
-        self.ignore_until = 0  # results of calls that started earlier are ignored
+        self.ignore_until = 0  # subclasses other than WindowLimit ignore results of calls that started earlier
 
     def set_bounds(self, min_value: float, max_value: float) -> None:
         self.min_value, self.max_value = max(0.001, min_value), max(0.001, min_value, max_value)
@@ -157,7 +158,7 @@
     A congestion signal decreases the limit to nine tenths.
     """
 
-    BASELINE_SPAN = 10_000_000
+    BASELINE_SPAN = 10_000_000  # microseconds
 
     def __init__(self, start: float, min_value: float, max_value: float, now: int = 0) -> None:
         super().__init__(start, min_value, max_value, now)
@@ -188,7 +189,7 @@
     """Scales the limit by the ratio of minimum to current latency, and adds its square root for a short queue."""
 
     TOLERANCE = 1.5  # multiple of the minimum latency up to which the limit is not scaled down
-    SMOOTHING = 0.2
+    SMOOTHING = 0.2  # share of the difference to the goal that is closed per round trip
 
     def _adjust(self, gradient: float, is_used: bool) -> None:
         if is_used:
--- a/hollystage/policy/queues.py
+++ b/hollystage/policy/queues.py
@@ -15,7 +15,7 @@
 # default bounds of the call limit, as shares of the concurrent calls that this instance may make
 MIN_LIMIT_SHARE = 0.1
 MAX_LIMIT_SHARE = 0.9
-# states that the pools keep account of
+# states that the pools track
 POOL_STATES = {RUNNING: ON_CORES, WAITING: AWAITING_CALL, CALLING: IN_CALL}
 
 
@@ -56,6 +56,7 @@
         lowest = min(m.criticality for m in settings.methods)
         self.criticality_factor = {
             m: (lowest / m.criticality) ** 0.5 if m.criticality else 1.0 for m in settings.methods}
+        # no call starts before `next_call_at`; the adapter may set a later time
         self.progress_at = self.rates_updated_at = self.hang_ended_at = self.cut_at = self.next_call_at = now
         self.stop_at = self.grace_ends_at = self.sequence = 0
         # share of their load that callers may send; the last load signal, -1 before the first one
