--- a/hollystage/decisions/draining/drain_notice.py
+++ b/hollystage/decisions/draining/drain_notice.py
@@ -2,8 +2,8 @@
 
 The drain grace starts when the notice (a signal) is given. A process that was stopped, starved of CPU time or busy at
 that time receives the signal later, and a signal carries no time stamp. The process therefore keeps the last time at
-which no notice had been given yet. It assumes that a notice was given at that time, the earliest one possible, and it
-runs an RPC that arrived more than the grace after that time only once a later such time is known.
+which no notice had been given yet. It assumes that a notice was given at that time, the earliest one possible. An RPC
+that arrived more than the grace after that time is in doubt until a later such time is known.
 docs/notes/notice.md describes the cost of this rule.
 """
 from __future__ import annotations
--- a/hollystage/decisions/membership/members.py
+++ b/hollystage/decisions/membership/members.py
@@ -184,7 +184,7 @@
         self.counts["exchanges_failed"] += 1
 
     def _checksums(self) -> list[int]:
-        """Returns one checksum for each bucket, over its live members in any order."""
+        """Returns one checksum for each bucket, over its live members; their order does not matter."""
         checksums = [0] * SYNC_BUCKETS
         for record in (self.me, *self.records.values()):
             if record.living:
--- a/hollystage/decisions/membership/messages.py
+++ b/hollystage/decisions/membership/messages.py
@@ -31,7 +31,7 @@
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """Reports that the member of an indirect probe did not answer in time; it shows that the helper is reachable."""
+    """Reports that the target of an indirect probe did not answer in time; it shows that the helper is reachable."""
 
     seq: int
 
--- a/hollystage/decisions/membership/parameters.py
+++ b/hollystage/decisions/membership/parameters.py
@@ -18,7 +18,7 @@
     max_health_score: int = 8  # upper bound of the local health score; 0 is healthy
     lost_probe_period: int = 4_000_000  # mean time between probes of lost members or configured addresses
     sync_period: int = 30_000_000  # mean time between full syncs; 0.1 s per member if that is longer
-    min_sync_interval: int = 1_000_000  # minimum time between full syncs in addition to the periodic ones
+    min_sync_interval: int = 1_000_000  # minimum time between full syncs other than the periodic ones
     tombstone_lifetime: int = 1_800_000_000  # until a lost or departed member is removed
     max_members: int = 10_000  # bound on the members of a view
     # members that may start at once; their first syncs are spread over time at the rate FLEET_RATES["exchange"]
--- a/hollystage/decisions/membership/records.py
+++ b/hollystage/decisions/membership/records.py
@@ -5,8 +5,8 @@
 
 Two records of a member are compared by a tuple (`Record.precedence`). A later boot wins over an earlier one,
 whatever was reported about the earlier one; within a boot the higher incarnation wins, which only the process itself
-raises; within an incarnation the worse belief wins. Neither the order of arrival nor repetition changes the final
-view of a member.
+raises; within an incarnation the worse belief wins. The result depends neither on the order in which records arrive
+nor on repetitions.
 """
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 MAX_GENERATIONS, MAX_EXTRA_BYTES = 8, 64  # numbers in a status; bytes of its `extra` field
 match_name = re.compile(r"[A-Za-z0-9._-]{1,64}").fullmatch
-match_address = re.compile(r"[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}").fullmatch  # no host names: no DNS lookup
+match_address = re.compile(r"[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}").fullmatch  # a host name would need a DNS lookup
 MAX_FIXED_BYTES = 80  # bytes of a record without its strings: numbers of up to nine bytes and headers
 
 
@@ -111,7 +111,7 @@
 
 @lru_cache(maxsize=4096)
 def _valid_identity(name: str, zone: str, address: str) -> bool:
-    """Returns whether the strings are well-formed; a modified peer could send any text, which would get into logs."""
+    """Returns whether the strings are well-formed. Keeps any text of a modified peer out of logs and tables."""
     return bool(match_name(name) and (not zone or match_name(zone)) and match_address(address))
 
 
--- a/hollystage/decisions/membership/replay.py
+++ b/hollystage/decisions/membership/replay.py
@@ -2,8 +2,8 @@
 
 Each process draws a random session number, and a sender must name the session of the receiver in its envelope. A
 process learns the sessions of its peers from the envelopes that they send and from the challenge that answers a wrong
-number. Envelopes that were recorded before this process started, or long ago, are thus rejected, and no clocks are
-compared. Within a session each counter value of a sender is accepted once.
+session number. Envelopes that were recorded before this process started, or long ago, are thus rejected, and no
+clocks are compared. Within a session each counter value of a sender is accepted once.
 """
 from __future__ import annotations
 
--- a/hollystage/decisions/membership/state.py
+++ b/hollystage/decisions/membership/state.py
@@ -20,9 +20,9 @@
 from .records import Belief, Record, Update, merge
 from .suspicion import LocalHealth, Suspicion, min_suspicion_time
 
-DATAGRAM_RECORD_BYTES = 880  # of a datagram, available for records; the rest is for headers, the message and the hash
-MAX_BOOT_RAISES = 4  # how often a process may raise its boot number until the next removal of tombstones
-MAX_EVENTS = 1_000  # further events are dropped until the pending ones are taken
+DATAGRAM_RECORD_BYTES = 880  # space for records in a datagram; the rest is for headers, the message and the hash
+MAX_BOOT_RAISES = 4  # how often a process may raise its boot number between two removals of tombstones
+MAX_EVENTS = 1_000  # pending events; further ones are dropped
 
 
 class MembershipState:
@@ -57,7 +57,7 @@
     # Records
 
     def _apply_record(self, new: Record, reporter: str, from_sync: bool = False) -> None:
-        """Applies a record that a peer sent.
+        """Applies a record that a peer sent, or in which this process changed its belief about a member.
 
         `from_sync`: the record comes from a full sync, which can contain beliefs that gossip no longer spreads.
         """
@@ -189,7 +189,7 @@
                 self._raise_boot(reported.boot)
 
     def _raise_boot(self, boot: int) -> None:
-        """Raises our boot number above the one that peers remember, which may be ahead of our clock."""
+        """Raises our boot number above the one that peers remember; our clock, its source, may be behind."""
         if boot < self.me.boot or self.ousted:
             return
         self.possible_duplicate = None
--- a/hollystage/decisions/recovery/ramp.py
+++ b/hollystage/decisions/recovery/ramp.py
@@ -13,9 +13,9 @@
 MASS_START_SHARE = 0.25  # share of starting and cold instances from which on a start counts as a mass start
 INITIAL_SHARE = 0.1  # share of its calls with which a cold instance starts
 GROWTH_FACTOR, DECREASE_FACTOR, MIN_SHARE = 1.6, 0.5, 0.03  # factors of one step; lower bound of the share
-MIN_STEP_TIME, CALLS_PER_STEP = 100_000, 2.0  # minimum duration of a step: absolute, and in typical call durations
+MIN_STEP_TIME, CALLS_PER_STEP = 100_000, 2.0  # minimum duration of a step: microseconds, typical call durations
 MAX_FAILED_SHARE = 0.3  # share of slow, lost and refused replies above which the share of calls decreases
-INITIAL_BACKOFF, MAX_BACKOFF = 500_000, 8_000_000  # pause after a decrease; doubles with each decrease
+INITIAL_BACKOFF, MAX_BACKOFF = 500_000, 8_000_000  # pause after a decrease, microseconds; doubled by each
 PRESSURE_THRESHOLDS = (0.05, 0.25, 0.6)  # shares of rejected RPCs above which the published level rises
 PRESSURE_HYSTERESIS = 0.8  # the level falls below this share of a threshold
 MIN_FREE_SHARE = 0.2  # share of the other instances that must be free for a retry elsewhere to make sense
--- a/hollystage/decisions/recovery/recovery.py
+++ b/hollystage/decisions/recovery/recovery.py
@@ -82,7 +82,7 @@
     cost: float = 0.0  # time on the cores
     runs: float = 0.0  # weight of `cost` and `off_core_time`
     off_core_time: float = 0.0
-    reject_age: float = 0.0  # age of first attempts at rejection, here and probably elsewhere
+    reject_age: float = 0.0  # age of first attempts at rejection here; assumed for rejections elsewhere too
     reject_count: float = 0.0  # weight of `reject_age`
     timeouts: tuple[float, ...] = ()  # histogram of the callers' timeouts
 
@@ -207,7 +207,7 @@
     """Returns the medians of what several peers with the same kind of machine learned; None for fewer than two peers.
 
     Guards against a single peer that is overloaded or sends false values: of three costs the median ignores the
-    extreme ones; of two it is the mean, so the lower one counts half.
+    extreme ones; of two it is the mean, in which a false value counts half.
     """
     comparable = [state for state in states if state.machine == machine]
     if len(comparable) < 2:
@@ -220,7 +220,8 @@
             methods[name] = MethodStats(*(
                 median(getattr(row, field) for row in rows)
                 for field in ("cost", "runs", "off_core_time", "reject_age", "reject_count")))
-    # the limit on calls is not taken from peers: the overload of a peer is no reason for a lower limit here
+    # the limit on calls is not taken from peers, as the overload of a peer is no reason for a lower limit here;
+    # `work_per_hint` is not taken either
     return LearnedState(machine, 0.0, median(state.typical_call for state in comparable), 0.0, 0.0, methods)
 
 
@@ -229,7 +230,7 @@
 
     A retry that reaches this process within the method's window after the start of the process may belong to an RPC
     that the earlier process ran; this process cannot know, so the retry is not run. A first attempt is run, since no
-    attempt preceded it. So is a retry whose first attempt reached this process and was rejected by it.
+    attempt preceded it. A retry is also run if its first attempt reached this process and was rejected by it.
     """
 
     def __init__(self, started_at: int) -> None:
@@ -253,5 +254,5 @@
             return key not in self.seen_keys
         self.seen_keys[key] = None
         if len(self.seen_keys) > MAX_REMEMBERED_KEYS:
-            self.seen_keys.popitem(last=False)  # a retry with a forgotten key may have run
+            self.seen_keys.popitem(last=False)  # a later retry with this key counts as one that may have run
         return False
--- a/hollystage/decisions/recovery/retry_calendar.py
+++ b/hollystage/decisions/recovery/retry_calendar.py
@@ -8,13 +8,13 @@
 
 from collections import OrderedDict
 
-SLOT_WIDTH = 20_000
+SLOT_WIDTH = 20_000  # microseconds
 # share of the throughput that may be promised
 INITIAL_PROMISED_SHARE, MIN_PROMISED_SHARE, MAX_PROMISED_SHARE = 0.3, 0.05, 0.4
 # changes of that share at a kept and at a broken promise; they balance at one broken promise in about 25
 SHARE_INCREASE, SHARE_DECREASE = 0.002, 0.05
-EARLY_TOLERANCE, LATE_TOLERANCE = 10_000, 100_000  # how far from its promised time a caller may arrive
-MAX_PROMISES = 8_192
+EARLY_TOLERANCE, LATE_TOLERANCE = 10_000, 100_000  # microseconds by which a caller may miss its promised time
+MAX_PROMISES = 8_192  # stored promises
 
 
 class RetryCalendar:
--- a/tests/test_comeback.py
+++ b/tests/test_comeback.py
@@ -356,7 +356,7 @@
         simulation.run(0.1)
         streams.append(simulation.streams - before)
     assert max(streams) >= 150 if max_streams is None else max(streams) <= max_streams
-    assert simulation.run_until_agreed(15) is not None  # took 26 s before a flood of updates triggered full syncs
+    assert simulation.run_until_agreed(15) is not None  # took 26 s before many pending updates triggered a full sync
 
 
 # Checkers of a recovery, on histories written by hand
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -102,7 +102,7 @@
     members.receive(record("b", boot=8), Ping(3, "a"), [Update(record("c", host=3, belief=Belief.LOST), "b")], 30)
     (reply,) = members.take_actions()
     assert reply.updates[0].record.boot == 9 or any(update.record.boot == 9 for update in reply.updates)
-    assert members.records["c"].living  # its own accusations are ignored too
+    assert members.records["c"].living  # accusations by the older process are ignored too
 
 
 def test_boot_is_raised_above_a_remembered_one_unless_a_duplicate_answers():
--- a/tests/test_notice.py
+++ b/tests/test_notice.py
@@ -25,7 +25,7 @@
             and notice.given_at(now + HEARTBEAT_INTERVAL) == now + HEARTBEAT_INTERVAL
     resumed = now + max(grace, 4 * HEARTBEAT_INTERVAL) + HEARTBEAT_INTERVAL
     # the notice may have been given just after the heartbeat before the pause, or even before: the thread that waits
-    # for signals is only known to have run between the last two heartbeats in time
+    # for signals is only known to have run between the last two heartbeats that were on time
     notice.heartbeat(resumed)
     assert notice.given_at(resumed) == now - HEARTBEAT_INTERVAL and notice.in_doubt(resumed)
     notice.heartbeat(resumed + HEARTBEAT_INTERVAL)
