--- a/hollystage/decisions/budgets/allocation.py
+++ b/hollystage/decisions/budgets/allocation.py
@@ -9,7 +9,7 @@
 from .parameters import Budget, floor_delay
 
 Steps = tuple[tuple[int, int], ...]  # (end, units): the units allowed until each end; the last step never ends
-FOREVER = 1 << 62
+FOREVER = 1 << 62  # microseconds; a time that is never reached
 
 
 class Allocation:
@@ -21,8 +21,8 @@
         # an earlier process of the same name may still use its floor or have lent it
         self.floor_available_at = started_at + floor_delay(budget, parameters)
         self.suspended = False  # true while another process has the same name; nothing may be used then
-        self.in_use = self.applied_limit = 0  # of the same report of the decision module
-        self.loans_given: list[tuple[int, int]] = []  # (end of the loan and of the longest use after it, units)
+        self.in_use = self.applied_limit = 0  # both from the decision module's last report
+        self.loans_given: list[tuple[int, int]] = []  # (end of the longest use that may follow the loan, units)
         self.loans_taken: list[tuple[int, int]] = []  # (end of the loan, units)
 
     def floor(self, now: int) -> int:
--- a/hollystage/decisions/budgets/allocator.py
+++ b/hollystage/decisions/budgets/allocator.py
@@ -21,7 +21,7 @@
         self.budget_allocators = {budget.name: BudgetAllocator(budget, parameters, now) for budget in budgets}
 
     def handle_claim(self, process: ProcessKey, claim: Claim, now: int) -> Grants | None:
-        """Returns the grants that answer a claim, or None if every row of it is outdated."""
+        """Returns the grants that answer a claim, or None if no row of it can be answered."""
         grants: list[Grant] = []
         for row in claim.rows:
             allocator = self.budget_allocators.get(row.name)
--- a/hollystage/decisions/budgets/budget_allocator.py
+++ b/hollystage/decisions/budgets/budget_allocator.py
@@ -18,7 +18,7 @@
 
 
 class Account:
-    """What one process is charged and what it needs, in units beside its floor.
+    """What one process is charged and what it needs, in units above its floor.
 
     `charge`: units that it may still use, until `expires_at`; `granted`: units of the last grant; `request_id`: of
     its last claim, -1 before the first.
--- a/hollystage/decisions/budgets/claimant.py
+++ b/hollystage/decisions/budgets/claimant.py
@@ -1,7 +1,7 @@
 """The claimant: how one process obtains its units of all budgets.
 
-It sends a claim to the allocator once a period, and earlier if it lacks units or if it no longer uses units that its
-grant was reduced by. The voters of the allocator's lease redirect it to the allocator. While there is no allocator,
+It sends a claim to the allocator once a period, and earlier if it lacks units or if it can give up units after its
+grant was reduced. The voters of the allocator's lease redirect it to the allocator. While there is no allocator,
 peers lend each other units that they do not use, and after a grant ends only the floor is left.
 """
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from .messages import BorrowRequest, BudgetMessage, Claim, ClaimRow, Grants, Loan, Outgoing, Redirect
 from .parameters import Budget
 
-REPLY_TIMEOUT_PERIODS = 0.6  # time to wait for an answer before another process is asked
+REPLY_TIMEOUT_PERIODS = 0.6  # time to wait for an answer before the next claim is sent
 MIN_CLAIM_INTERVAL_PERIODS = 0.2  # least time between a claim and an early one
 BORROW_AFTER_PERIODS = 2.5  # time without an answer after which units are borrowed from peers
 MAX_LENDERS = 2  # peers asked for a loan at one time
--- a/hollystage/decisions/budgets/fair_shares.py
+++ b/hollystage/decisions/budgets/fair_shares.py
@@ -11,7 +11,7 @@
 
 MAX_NEED_TO_USE_RATIO, UNPROVEN_UNITS = 2, 2  # credible need per unit in use; units that are credible without any use
 STEADY_TOLERANCE = 0.1  # fraction by which a need may fall and still count as unchanged
-NEED_DECAY = 0.7  # fraction of a falling need that is kept at each claim, so that a short lull gives no units away
+NEED_DECAY = 0.7  # fraction of a falling need that is kept at each claim, so that a lull reduces it step by step
 
 
 class Demand(NamedTuple):
@@ -64,7 +64,7 @@
 
     A process that claims everything gets no more than its use justifies; a small need counts without any use.
     `claimed`: the need that the process states; `in_use`: units that it reports as used, of which no more than
-    `granted` count; `previous`: the need that its last claim counted for.
+    `granted` or `UNPROVEN_UNITS` count, whichever is more; `previous`: the need that its last claim counted for.
 
     >>> credible_need(100, 0, 0, 0), credible_need(100, 4, 8, 0), credible_need(100, 40, 8, 0)
     (2, 10, 18)
--- a/hollystage/decisions/budgets/messages.py
+++ b/hollystage/decisions/budgets/messages.py
@@ -10,16 +10,16 @@
 
 from ..leases.messages import LeaseRequest, Reply
 
-MAX_ROWS, MAX_NAME_LENGTH, MAX_UNITS = 8, 32, 1 << 30
+MAX_ROWS, MAX_NAME_LENGTH, MAX_UNITS = 8, 32, 1 << 30  # budgets in a message, characters, units
 
 
 class ClaimRow(msgspec.Struct, frozen=True, array_like=True):
     """One budget in a claim, in units.
 
     `committed`: the most that the process may use from now on without a further answer, including what it still
-    uses and what it lent; `own`: its current grant or floor, without units that it only still uses or has borrowed;
-    `floor`: the part of `own` that needs no grant; `need`: what it could use now; `weight`: criticality of the work
-    that waits.
+    uses and what it lent; `own`: its current grant or floor, without borrowed units and without units that are still
+    in use after its grant was reduced; `floor`: the part of `own` that needs no grant; `need`: what it could use now;
+    `weight`: criticality of the work that waits.
     """
 
     name: str
--- a/hollystage/decisions/budgets/parameters.py
+++ b/hollystage/decisions/budgets/parameters.py
@@ -1,6 +1,6 @@
 """The definition of a budget, and the invariant that all allocations keep.
 
-    sum over all processes of   units each may use  +  units in use of allocations that ended   <=   total
+    sum over all processes of   units each may use  +  units still in use from ended allocations   <=   total
 
 at every instant of true time. Three sums keep it, and no process compares its clock with another's:
 
@@ -38,7 +38,7 @@
 
     @property
     def grantable(self) -> int:
-        """Units that are granted for a limited time, beside the floors."""
+        """Units that are granted for a limited time, in addition to the floors."""
         return max(0, self.total - self.floor * self.max_processes)
 
     @property
--- a/hollystage/decisions/budgets/participant.py
+++ b/hollystage/decisions/budgets/participant.py
@@ -93,8 +93,8 @@
     def _update_role(self, now: int) -> None:
         """Makes this process the allocator, or ends that, as the lease requires.
 
-        A lease that is acquired again under the same ballot was held by no other process in between, so the allocator
-        keeps its accounts.
+        If the lease ended and was renewed under the same ballot before this check, no other process held it in
+        between, so the allocator keeps its accounts.
         """
         is_holder = self.candidate is not None and self.candidate.holds_lease(now)
         if self.candidate is None or not is_holder:
--- a/hollystage/decisions/leases/candidate.py
+++ b/hollystage/decisions/leases/candidate.py
@@ -49,7 +49,7 @@
     def on_fenced(self, ballot: int) -> None:
         """Gives up the lease because the target of an act reported a greater ballot.
 
-        This happens only if all voters lost their state.
+        While the lease is held, this happens only if voters lost their state.
         """
         self.highest_ballot = max(self.highest_ballot, ballot)
         self.held_until = 0
@@ -81,7 +81,10 @@
                 for voter in self.voter_set.all_voters]
 
     def _back_off(self, now: int) -> list[tuple[str, LeaseRequest]]:
-        """Schedules the next round after a random backoff, and releases the grants of a minority of voters."""
+        """Schedules the next round, and releases what a minority of voters granted in this one.
+
+        It begins after a random backoff, and not before the known grant of another process may have ended.
+        """
         proposed = self.phase == "proposing"
         self.phase = "idle"
         backoff = int(self.rng.uniform(MIN_BACKOFF_FRACTION, MAX_BACKOFF_FRACTION) * self.parameters.duration)
--- a/hollystage/decisions/leases/messages.py
+++ b/hollystage/decisions/leases/messages.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-MAX_NAME_LENGTH = 64
+MAX_NAME_LENGTH = 64  # characters of the name of a lease or a process
 
 
 class ProcessId(NamedTuple):
--- a/hollystage/decisions/leases/parameters.py
+++ b/hollystage/decisions/leases/parameters.py
@@ -1,7 +1,7 @@
 """The timing parameters of leases and the set of voters.
 
-Each clock runs at a rate between 1 - drift and 1 + drift of true time; nothing else is assumed about it. One
-inequality makes everything safe that is granted for a limited time here, both leases and grants of budgets:
+Each clock runs at a rate between 1 - drift and 1 + drift of true time; nothing else is assumed about it. Leases and
+grants of budgets are safe for the same reason, namely that the holder stops before the granter grants again:
 
     a holder acts for                  duration * (1 - drift) / (1 + drift) - margin   of its clock, from its request;
     a granter waits before regranting  duration                                        of its clock, from its reply.
@@ -51,8 +51,8 @@
     A change of the set adds one voter or removes one, never both, so that majorities of the old and the new set
     intersect. While the previous set may still be in use (`previous` is not empty), majorities of both sets are
     needed. A voter rejects the requests of a candidate whose generation is older than its own or more than one ahead,
-    so two changes never overlap. The operator must ensure that a further change begins only after every voter runs
-    the last one.
+    so two changes never overlap. The operator must ensure that a further change begins only after every voter has
+    applied the previous one.
     """
 
     voters: tuple[str, ...]
--- a/hollystage/decisions/leases/voter.py
+++ b/hollystage/decisions/leases/voter.py
@@ -8,7 +8,7 @@
 from .messages import LeaseRequest, Prepare, ProcessId, Propose, Release, Reply
 from .parameters import LeaseParameters, VoterSet
 
-MAX_LEASES = 64  # leases that a voter keeps at once; leases without a holder are evicted first
+MAX_LEASES = 64  # leases that a voter keeps at once; only leases without a holder are evicted
 
 
 class Voter:
--- a/hollystage/fleet/agent.py
+++ b/hollystage/fleet/agent.py
@@ -55,7 +55,7 @@
 MAX_STREAMS = 4  # concurrent inbound streams
 BIND_RETRY_S = 1.0  # between attempts to bind the address
 MAX_CHALLENGES_PER_S = 200.0  # bounds the replies that replayed datagrams can provoke
-FOREVER = 1 << 62  # a time that is never reached
+FOREVER = 1 << 62  # microseconds; a time that is never reached
 WARNING_EVENTS = {"suspect", "lost", "twin", "ousted", "alone", "raised", "slept", "accused"}
 
 
@@ -108,7 +108,8 @@
         self.sync_queue: Queue[str] = Queue(8)
         self.stream_slots = threading.BoundedSemaphore(MAX_STREAMS)
         self.challenge_limiter = RateLimiter(MAX_CHALLENGES_PER_S, now)
-        # Other threads set timers too. A timer that fires later than this would be taken for a stall of the process.
+        # Other threads may set a timer while the datagram thread waits. A longer wait could delay that timer by more
+        # than half the ack timeout, which membership takes for a pause of the process.
         self.poll_interval = min(POLL_INTERVAL_US, parameters.ack_timeout // 4)
         self.polled_at = now - POLL_INTERVAL_US
         self.sockets_open, self.stopped = threading.Event(), False
--- a/hollystage/fleet/budget_endpoint.py
+++ b/hollystage/fleet/budget_endpoint.py
@@ -72,7 +72,11 @@
         self.steps = {name: allocation.steps(now) for name, allocation in allocations.items()}
 
     def _resolve_addresses(self, messages: list[Outgoing]) -> list[tuple[str, CoordinationMessage]]:
-        """Replaces names by addresses. Drops messages to processes of unknown address; they are sent again later."""
+        """Replaces names by addresses.
+
+        Messages to processes of unknown address are dropped, like lost datagrams; claims and lease requests are
+        sent again later.
+        """
         return [(self.addresses[recipient], payload) for recipient, payload in messages
                 if recipient in self.addresses]
 
--- a/hollystage/store/snapshot.py
+++ b/hollystage/store/snapshot.py
@@ -40,8 +40,8 @@
 def read(folder: StateFolder, now_ms: int) -> tuple[Snapshot | None, float | None, str]:
     """The snapshot, its age in seconds, and a warning to be logged.
 
-    The snapshot is None if there is none or it cannot be read. The age is None if there is no snapshot, or if it
-    is from the future by more than clock differences explain. The warning is empty if there is nothing to report.
+    The snapshot is None if there is none or it cannot be read. The age is None if there is no snapshot, or if its
+    time is further in the future than clocks may differ. The warning is empty if there is nothing to report.
     """
     try:
         body = folder.read("snapshot", FORMAT_VERSION)
--- a/tests/test_budgets.py
+++ b/tests/test_budgets.py
@@ -81,7 +81,7 @@
 def test_reduced_units_are_charged_until_their_process_reports_them_free():
     allocator = BudgetAllocator(BUDGET, GRANT_PARAMETERS, -10 ** 9)
     allocator.accounts.clear()
-    assert allocator.handle_claim(A, row(13, 12, 13), 1, 0) == 13  # 12 beside its floor, of 16
+    assert allocator.handle_claim(A, row(13, 12, 13), 1, 0) == 13  # 12 of the 16 grantable units, and its floor
     assert allocator.handle_claim(B, row(1, 0, 10), 1, 0) == 2
     for request_id in range(2, 6):
         now = request_id * 200_000
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -1,8 +1,8 @@
 """Tests of the lease protocol: random schedules, exhaustive search, voter sets and message bounds.
 
 The schedules run clocks at either bound of their drift, lose, duplicate and delay messages, and restart processes
-without their state. At no instant of true time may two processes hold the lease, and no ballot may belong to two
-processes. Seeded faults show that both checks detect a violation.
+without their state. Two processes may never hold the lease at the same instant of true time, and no ballot may belong
+to two processes. Seeded faults show that both checks detect a violation.
 """
 import random
 from heapq import heappop, heappush
@@ -32,7 +32,7 @@
         self.now = self.sequence = 0
         self.queue, self.clocks, self.candidates = [], {}, {}
         self.holders, self.ballot_owners, self.violations, self.steps_with_holder = {}, {}, [], 0
-        self.boots, self.cut_until = 0, {}  # by candidate: end of the time that its messages are dropped
+        self.boots, self.cut_until = 0, {}  # by candidate: time until which its messages are dropped
         self.voter_names = [f"v{n}" for n in range(voters)]
         self.voters = {name: self._voter(name) for name in self.voter_names}
         for n in range(candidates):
@@ -297,7 +297,7 @@
     table.handle_request(Release(100, PROCESS, "l0"), 0)
     assert acquire(table, "one more", OTHER, 0) and len(table.voters) == MAX_LEASES
     table.handle_request(Release(10 ** 6, OTHER, "one more"), 0)
-    # the ballots of an evicted lease are rejected all the same
+    # ballots up to those of evicted leases are still rejected
     assert (not table.handle_request(Prepare(100, OTHER, 1, "l0"), 0).accepted
             and table.handle_request(Prepare(10 ** 7, OTHER, 1, "l0"), 0).accepted)
 
