--- a/hollystage/fleet/agent.py
+++ b/hollystage/fleet/agent.py
@@ -85,7 +85,7 @@
     """Exchanges membership, lease and budget messages with the other instances. Times are microseconds of `clock`.
 
     `read_status` returns what this process publishes about itself; it is called often and must not block.
-    `save_boot` stores a boot number that had to be raised, before the number is announced a second time.
+    `save_boot` stores a boot number that had to be raised, before the datagram thread announces it.
     """
 
     def __init__(self, name: str, zone: str, bind: str, advertise: str, configured_peers: list[str], key: bytes,
