--- a/hollystage/benchlink/frames.py
+++ b/hollystage/benchlink/frames.py
@@ -6,7 +6,7 @@
 from typing import Any, BinaryIO
 
 Event = tuple[Any, ...]  # name, number of the instance, other fields
-EVENT_SIZE, ACTION_SIZE, MAX_FRAME_BYTES = 56, 16, 1 << 30
+EVENT_SIZE, ACTION_SIZE, MAX_FRAME_BYTES = 56, 16, 1 << 30  # bytes
 EVENT_FORMATS: dict[int, tuple[str, struct.Struct]] = {
     1: ("called", struct.Struct(">HQHI")),
     2: ("timer", struct.Struct(">HQB4f")),
@@ -84,7 +84,7 @@
         self.records.append(struct.pack(">B" + layout, code, *fields).ljust(ACTION_SIZE, b"\0"))
 
     def add_text(self, code: int, instance: int, text: str) -> None:
-        """Adds an action whose text is stored behind all records."""
+        """Adds an action whose text is stored after all records."""
         data = text.encode("utf-8", "replace")
         self.add("HII", code, instance, len(self.tail), len(data))
         self.tail += data
--- a/hollystage/benchlink/host.py
+++ b/hollystage/benchlink/host.py
@@ -1,4 +1,4 @@
-"""Hosts many independent instances of the decision module and maps RPC ids of the protocol to objects."""
+"""Hosts many independent instances of the decision module and maps RPC ids of the protocol to objects and back."""
 from __future__ import annotations
 
 import traceback
@@ -38,7 +38,7 @@
         if earlier:
             rpc.earlier = self.rpcs.get(earlier) or Rpc(rpc.method, caller, None, 0.0, 0, ran=True)
         self.rpcs[rpc_id], self.ids[rpc] = rpc, rpc_id
-        # kept until no repeat can refer to it: for its window and the longest time that a repeat may lie unread
+        # kept until no repeat can refer to it: for its window and the longest time for which a repeat may be unread
         self.expiries.append((now + max(self.max_deadline, rpc.method.window) + 2 * self.max_deadline, rpc_id))
         self.control.arrived(rpc, now)
 
@@ -57,7 +57,7 @@
         while self.expiries and self.expiries[0][0] < now:
             rpc_id = self.expiries.popleft()[1]
             rpc = self.rpcs[rpc_id]
-            if rpc.lifecycle is not None:  # work on hung cores may end long after the RPC was answered
+            if rpc.lifecycle is not None:  # a run that hangs may end long after the RPC was answered
                 self.expiries.append((now + self.max_deadline, rpc_id))
                 continue
             del self.rpcs[rpc_id], self.ids[rpc]
--- a/hollystage/cli.py
+++ b/hollystage/cli.py
@@ -32,7 +32,7 @@
     """Serve until SIGTERM or SIGINT, then drain; a second SIGINT exits at once.
 
     Keys of the platform's JSON take precedence over those of a plan.
-    SIGHUP reloads both and applies the addresses of interpreter, ledger and control plane.
+    SIGHUP reloads both and applies the pools and the addresses of interpreter, ledger and control plane.
     SIGUSR1 logs the counters.
     """
     entered = time.monotonic()
@@ -45,7 +45,8 @@
     # the driver sends SIGURG to have pending signals checked after the process was suspended
     watched = {signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP, signal.SIGURG}
     signal.pthread_sigmask(signal.SIG_BLOCK, watched)
-    # SIGHUP may be ignored up to here: nothing is lost, since the files are read below
+    # the parent may have set SIGHUP to be ignored, since an early one would end the process by default; none is lost,
+    # since the files are read after this line
     signal.signal(signal.SIGHUP, signal.SIG_DFL)
     try:
         settings = load(config, plan, plan_key)
--- a/hollystage/service/budget_limiter.py
+++ b/hollystage/service/budget_limiter.py
@@ -1,8 +1,8 @@
 """Applies this instance's allocation of the fleet's calls to the call limit, and reports the usage.
 
-Called under the driver's lock. The tables of the budget endpoint are read whole and without a lock. An expired
-allocation is replaced before the next decision, not at the next tick, so that a process that was suspended never acts
-on an allocation that expired meanwhile.
+Called under the driver's lock. The tables of the budget endpoint need no lock, since each is replaced as a whole.
+An expired allocation is replaced before the next decision, not at the next tick, so that a process that was
+suspended never acts on an allocation that expired meanwhile.
 """
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from ..policy.buckets import CALLING, WAITING
 
 MIN_LIMIT_SHARE = 0.25  # lower bound of the call limit as a share of the allocation
-BUDGET_BOUND_SHARE = 0.9  # share of the allocation from which on waiting RPCs wait for the budget, not for the limit
+BUDGET_BOUND_SHARE = 0.9  # share of the allocation; RPCs that wait under a lower call limit are not counted as demand
 NO_CALLS_INTERVAL = 200_000  # microseconds for which calls are postponed without an allocation, renewed at each tick
-CLOSED_LIMIT = 0.001  # bound of the call limit without an allocation
+CLOSED_LIMIT = 0.001  # calls; both bounds of the call limit while there is no allocation
 
 
 class BudgetLimiter:
--- a/hollystage/service/clients.py
+++ b/hollystage/service/clients.py
@@ -25,7 +25,8 @@
 
 # from a connection's start to the end of its first message; closes silent and slow connections
 FIRST_MESSAGE_TIMEOUT_S = 1.5
-# a connection is not evicted before this age; with this share of new connections no established one is evicted
+# age that a new connection reaches before it may be evicted; share of the table: with more new connections than
+# this, no established one is evicted
 MIN_CONNECTION_AGE_S, FLOOD_SHARE = 0.3, 0.25
 MESSAGE_TIMEOUT_S = 2.0  # from the first byte of a later message to its last
 SEND_TIMEOUT_S = 5.0  # for the client to receive an answer
@@ -39,7 +40,7 @@
 RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)  # accept() fails for lack of resources
 SWEEP_INTERVAL_S, ACCEPT_RETRY_S = 0.1, 0.01  # between checks for idle connections; between attempts to accept
 HANDOVER_TIMEOUT_S = 0.5  # for the accepting thread to end, or for free descriptors, when the listener closes
-BACKLOG = 512
+BACKLOG = 512  # connections that wait to be accepted
 SO_ATTACH_FILTER = 26  # from Linux's asm/socket.h; Python does not define it
 
 Answer = tuple[int, dict[str, str], bytes]  # status, header fields, body
--- a/hollystage/service/connection.py
+++ b/hollystage/service/connection.py
@@ -52,7 +52,7 @@
 
 
 def max_client_connections(sockets: int, calls: int) -> int:
-    """Maximum number of client connections, of `sockets` descriptors with `calls` of them for downstream calls.
+    """Returns the maximum number of client connections; `calls` of `sockets` descriptors are for downstream calls.
 
     >>> max_client_connections(1024, 128), max_client_connections(32, 4)
     (704, 16)
--- a/hollystage/service/driver.py
+++ b/hollystage/service/driver.py
@@ -20,7 +20,7 @@
 
 GAUGE_LEAD_TIME = 10_000  # microseconds before the module's timer at which the gauges are requested
 MAX_GAUGE_AGE = 1_000_000  # microseconds; older gauges are ignored
-# limit and polling interval of the wait for a check whether a drain signal is pending
+# longest wait for the check whether a drain signal is pending; interval between two polls of its result
 SIGNAL_CHECK_TIMEOUT_S, SIGNAL_CHECK_POLL_S = 0.5, 0.005
 
 
@@ -83,7 +83,7 @@
     def arrived(self, exchange: Exchange) -> str:
         """Registers an RPC that was read and passes it to the module.
 
-        Returns the reason if the RPC is invalid, in which case the module does not see it, else an empty string.
+        Returns an empty string, or the reason if the RPC is invalid; an invalid RPC is not passed to the module.
         """
         self._await_signal_check(clock() - exchange.rpc.unread_time)
         with self.lock:
@@ -157,7 +157,7 @@
         if unanswered:
             self.control.caller_disconnected(rpc, now)
         if unstarted:
-            # the run was never requested from the interpreter: without this it would occupy its slot for ever
+            # the run was never requested from the interpreter: without this it would occupy a run slot forever
             self._finish_run(exchange, Outcome.MOOT, 0, b"", now)
         if unanswered or unstarted:
             self._process_actions(now)
--- a/hollystage/service/exchange.py
+++ b/hollystage/service/exchange.py
@@ -1,4 +1,4 @@
-"""One RPC between the thread that serves it, the decision module and its run, and the events for that thread."""
+"""One RPC as its thread, the decision module and its run share it, and the events posted to that thread."""
 from __future__ import annotations
 
 from collections.abc import Callable
@@ -39,7 +39,7 @@
         self.mailbox: SimpleQueue[ExchangeEvent] = SimpleQueue()
         self.has_thread = True  # the thread that serves it has not finished
         self.run_requested = False  # APPLY was sent to the interpreter
-        self.run_ended = False  # the run has ended
+        self.run_ended = False
         self.pending_call: tuple[int, bytes] = (0, b"")  # offset of the notice and payload of the downstream call
         self.cancel_call: Callable[[], None] | None = None  # cancels the downstream call that the thread is in
 
--- a/hollystage/service/health_reporter.py
+++ b/hollystage/service/health_reporter.py
@@ -19,7 +19,7 @@
 
 
 class HealthReporter:
-    """Reports the health that the driver publishes to the control plane, from a thread of its own."""
+    """Reports the driver's health to the control plane, from a thread of its own."""
 
     def __init__(self, address: Address, name: str, driver: Driver, pool: BufferPool, counters: Counters,
                  log: Any) -> None:
@@ -42,7 +42,7 @@
         """Reports to another address from now on."""
         if address != self.address:
             self.address = address
-            self.driver.health_changed.set()  # reports at once: the new one must have an entry before the old expires
+            self.driver.health_changed.set()  # reports at once, before the entry at the old address expires
 
     def _report(self, healthy: bool) -> bool:
         """Sends one report and returns whether it was accepted.
--- a/hollystage/service/idempotency.py
+++ b/hollystage/service/idempotency.py
@@ -26,7 +26,7 @@
     """Maps idempotency keys to runs; times are microseconds."""
 
     def __init__(self, extra_retention: int) -> None:
-        # entries are kept beyond the window for repeats that are not read yet; the longest deadline
+        # how long an entry is kept after its window, for repeats that lie unread: the longest deadline of a method
         self.extra_retention = extra_retention
         self.entries: dict[IdempotencyKey, Entry] = {}
         self.expiries: list[tuple[int, int, IdempotencyKey]] = []
@@ -81,7 +81,7 @@
             entry = self.entries.get(key)
             if entry is None or entry.expires_at >= now:
                 continue
-            if entry.exchange.is_open:  # a run on hung cores is kept until it ends
+            if entry.exchange.is_open:  # the entry of a run that hangs is kept until the run ends
                 entry.expires_at = now + self.extra_retention
                 self.sequence += 1
                 heappush(self.expiries, (entry.expires_at, self.sequence, key))
--- a/hollystage/service/instance.py
+++ b/hollystage/service/instance.py
@@ -124,7 +124,7 @@
                 time.sleep(0.05)
 
     def drain(self, given_at: int | None = None) -> None:
-        """Serves through the grace period, then accepts nothing new.
+        """Serves through the grace period, then accepts no new connections.
 
         Returns once all connections are closed, or shortly before the kill.
 
--- a/hollystage/service/interpreter.py
+++ b/hollystage/service/interpreter.py
@@ -1,4 +1,4 @@
-"""The link to the interpreter: sends commands, receives notices and recovers both after a lost connection.
+"""The link to the interpreter: sends commands and receives notices, and loses neither when the connection is lost.
 
 The commands of a run are kept until a notice confirms that they were received. On a new connection the interpreter
 first sends the notices that were missed. Then the link requests the gauges; their arrival shows that all missed
@@ -233,8 +233,8 @@
         """
         greeted = False
         while True:
-            # the gauges are requested all the time, so silence means a dead connection, except before the BANNER,
-            # which an interpreter that starts late sends late
+            # the gauges are requested before each tick, so silence means a dead connection; before the BANNER there
+            # is no deadline, since the interpreter may still be starting
             deadline = time.monotonic() + SILENCE_TIMEOUT_S if greeted else None
             try:
                 line = stream.read_until(b"\n", len(stream.buffer), deadline)
--- a/hollystage/service/ledger_client.py
+++ b/hollystage/service/ledger_client.py
@@ -20,7 +20,7 @@
 from .http import HttpError, Response, encode_request, read_response
 
 CONNECT_FAILURE_DELAY_S = 0.02  # delay after a failed connection attempt
-REPLY_GRACE_S = 0.02  # extra wait past the limit for the ledger's own response about its time-out
+REPLY_GRACE_S = 0.02  # wait after the time limit, so that the ledger's response about its time-out can arrive
 
 # registers the function that cancels the call, or None; returns False if the call must not be made
 RegisterCancel = Callable[[Callable[[], None] | None], bool]
@@ -82,7 +82,7 @@
             sock.connect(address)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         except OSError:
-            # keeps an RPC that retries its call to a ledger that is down from using a whole core
+            # while the ledger is down, an RPC that retries its call would otherwise use a whole core
             time.sleep(max(0.0, min(CONNECT_FAILURE_DELAY_S, deadline - time.monotonic())))
             return False
         self.counters.add("ledger.connections")
--- a/hollystage/service/log.py
+++ b/hollystage/service/log.py
@@ -14,7 +14,7 @@
 
 
 class RateLimiter:
-    """A structlog processor that drops lines of an event above its rate; the next line has the dropped count."""
+    """A structlog processor that limits the lines of an event; the first one after a window has the dropped count."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
--- a/hollystage/service/peers.py
+++ b/hollystage/service/peers.py
@@ -28,7 +28,7 @@
 from .interpreter import InterpreterLink
 from .recovery_manager import RecoveryManager
 
-CLAIMS_PER_LEASE = 12  # claims for budgets during the duration of one lease
+CLAIMS_PER_LEASE = 12  # claims for the budgets per duration of a lease
 
 
 class Peers:
@@ -43,7 +43,7 @@
         self.boot = boots.next_boot(self.folder, self.clock() // 1000, log)
         stored, fleet = (state_config(config),
                          config.plan.first_of(sections.Fleet) if config.plan is not None else None)
-        # instances that share a configured seed must not draw the same start times
+        # instances that share a configured seed must not draw the same random delays
         self.seed = int(config.seed, 16) ^ crc32(config.name.encode())
         names = [profile.name for profile in config.settings.profiles]
         instances = fleet.instances if fleet is not None else int(config.settings.peers_total)
@@ -135,7 +135,7 @@
                 else Stage.SERVING)
 
     def _save_boot(self, boot: int) -> None:
-        """Stores a raised boot number: peers know a greater one than the clock and the folder yielded."""
+        """Stores a raised boot number; peers knew a greater one than the clock and the folder yielded."""
         self.boot = self.recovery.boot = boot
         if self.folder is not None:
             boots.write_boot(self.folder, boot, self.log)
@@ -170,7 +170,7 @@
 
 
 def plan_fingerprint(plan: Plan | None) -> int:
-    """Returns a 32-bit hash of the meaning of the plan, without the places of its entries; 0 without a plan."""
+    """Returns a 32-bit hash of the meaning of the plan, without the source lines of its entries; 0 without a plan."""
     if plan is None:
         return 0
     rows = [[section, fields] for section, fields, _, _ in to_rows(plan)]
--- a/hollystage/service/recovery_manager.py
+++ b/hollystage/service/recovery_manager.py
@@ -1,4 +1,4 @@
-"""Supplies the decision module with information from outside: stored state, the fleet, RPCs before a restart.
+"""Supplies the decision module with information from outside: stored state, peers, RPCs from before a restart.
 
 The driver calls the manager under its lock. Files are written and peers are queried by a thread of its own, so that
 no RPC waits for either.
@@ -29,7 +29,7 @@
 POLL_INTERVAL_S = 0.5
 REQUIRED_PEERS = 2  # peers whose statistics are needed to replace lost ones
 MAX_OWN_RUNS = 30.0  # after so many runs of its own, the instance needs no statistics of peers
-FOREVER = 1 << 62
+FOREVER = 1 << 62  # microseconds; later than any time of the clock
 
 
 class CallLimiter(Protocol):
@@ -90,7 +90,7 @@
         if self.call_limiter is None:
             self.ramp_controller.apply(control, bounds)
         else:
-            # the allocation replaces the share by the configured number of instances, which could be smaller
+            # the allocation replaces the share by the configured number of instances, which could allow fewer calls
             control.capacity_elsewhere = bounds.capacity_elsewhere
             ramp = self.ramp_controller.ramp
             self.limit_expires_at = self.call_limiter.tick(control, ramp.share if ramp is not None else 1.0, now)
@@ -159,7 +159,7 @@
         self.counters.add("state.bytes", size)
 
     def _fetch_from_peers(self, agent: Agent, now: int) -> None:
-        """Asks a few peers of the same zone and kind of machine, one by one, and restores what two agree on."""
+        """Asks a few peers of the same zone and kind of machine, one by one; restores the medians of two or more."""
         view, fingerprint = agent.view, recovery.machine_fingerprint(self.driver.settings)
         candidates = recovery.peers_to_ask(view, fingerprint, self.fetched)
         self.jitter.random.shuffle(candidates)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -14,11 +14,11 @@
 
 __all__ = ["ScriptedHttpServer", "ControlHarness", "Caller", "Interpreter", "StandInServer", "ServiceHarness",
            "reply", "wait_until"]
-SECOND = 1_000_000
+SECOND = 1_000_000  # microseconds
 
 
 def lookup(**changes):
-    """An idempotent method, the target and deadline of which are 2 s and 6 s."""
+    """An idempotent method with a latency target of 2 s and a deadline of 6 s."""
     return Method(**{"kind": MethodKind.IDEMPOTENT, "criticality": 1.0, "latency_target": 2 * SECOND,
                      "deadline": 6 * SECOND} | changes)
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -96,7 +96,7 @@
 
 
 def test_nodelay_is_set_on_client_sockets():
-    """Nagle's algorithm would hold back answers."""
+    """Nagle's algorithm would delay answers."""
     with ServiceHarness() as harness:
         caller, clients = harness.caller(), harness.instance.clients
         assert caller.request().status == 200
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,4 +1,4 @@
-"""One instance on real sockets, among stand-ins, and as a process of its own."""
+"""One instance on real sockets with stand-ins, inside the test process and as a process of its own."""
 import contextlib
 import json
 import os
@@ -417,8 +417,8 @@
         assert caller.receive().status == status
         call = harness.ledger.received[0]
         assert (call.body, call.fields["x-txn-ref"]) == (b"the call", request_id)
-        # a lost reply is retried a few times if the call may run again and there is time (not with None); a refusal
-        # is retried because the call did not run
+        # a call whose reply was lost is retried a few times if it may run twice and time is left; with None no reply
+        # comes and no time is left; a refused call of `order` is retried because it did not run
         lost = method == "lookup" and replies[0] in (reply(504), b"nonsense\r\n\r\n", b"")
         assert len(harness.ledger.received) == (3 if lost else 2 if method == "order" and commands else 1)
         assert not harness.interpreter.commands("RESOLVE") or commands == ["RESOLVE"]
@@ -707,7 +707,7 @@
 
 
 def test_threads_run_under_the_batch_scheduling_policy(process):
-    """A woken thread must not preempt the thread that woke it and still holds the interpreter lock."""
+    """A woken thread must not preempt the thread that woke it and still holds Python's global interpreter lock."""
     started, _ = process
     policies = []
     for task in os.listdir(f"/proc/{started.pid}/task"):
@@ -738,7 +738,7 @@
     assert int(status["VmRSS"].split()[0]) < 100_000 and int(status["Threads"]) > 500
     busy = sum(map(int, open(f"/proc/{started.pid}/stat").read().split()[13:15]))
     time.sleep(0.5)
-    assert sum(map(int, open(f"/proc/{started.pid}/stat").read().split()[13:15])) - busy < 25  # clock ticks, of 50
+    assert sum(map(int, open(f"/proc/{started.pid}/stat").read().split()[13:15])) - busy < 25  # of 50 clock ticks
     for caller in clients:
         caller.sock.close()
     clients = [harness.caller() for _ in range(510)]  # all reconnect at once
