--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -26,9 +26,9 @@
 from hollystage.decisions.leases.parameters import LeaseParameters, VoterSet  # noqa: E402
 from hollystage.decisions.leases.voter import Voter  # noqa: E402
 
-STEP = 4_000  # true time between two states; a slow clock advances by 3,000, a fast one by 5,000
-DRIFT = 0.25
-SLOW_CLOCK, FAST_CLOCK = 3, 5  # thousands per step
+STEP = 4_000  # microseconds between two states; a slow clock advances by 3,000, a fast one by 5,000
+DRIFT = 0.25  # largest deviation of a clock's rate, as a share
+SLOW_CLOCK, FAST_CLOCK = 3, 5  # milliseconds by which the clock advances per step
 # attributes that do not distinguish states
 UNSEEN = {"_frozen", "counts", "rng", "next_at", "unanswered", "answered_at", "began",
           "first_grant_delay", "gained", "lost", "refused"}
@@ -160,7 +160,7 @@
         message_faults: messages that may be lost, delayed or duplicated
         crashes: processes that may crash
         steps: number of clock steps
-        rates: clock rates of the processes, thousands per step; `SLOW_CLOCK` for others
+        rates: clock rates of the processes, milliseconds per step; `SLOW_CLOCK` for others
     """
 
     def __init__(self, message_faults=3, crashes=1, steps=8, rates=None):
--- a/benchmarks/pools.py
+++ b/benchmarks/pools.py
@@ -179,7 +179,7 @@
     instances = 300
     for policy, pooling in (("window", None), ("aimd", POOL_CONFIG)):
         clock = VirtualClock(START_US)
-        # slots for the whole fleet; `calls_out` of each instance is its share of the calls that the ledger survives
+        # 6 slots per instance, so the ledger survives 18 calls per instance; `calls_out` gives each a share of 10
         ledger = LedgerModel(clock, LedgerParameters(slots=6 * instances, overload_tolerance=1_000_000), 1)
         simulated_instances = []
         for number in range(instances):
--- a/hollystage/language/units.py
+++ b/hollystage/language/units.py
@@ -34,7 +34,7 @@
     "/s": (RATE, Fraction(1)), "/min": (RATE, Fraction(1, 60)), "/h": (RATE, Fraction(1, 3600)),
     "%": (SHARE, Fraction(1, 100)),
 }
-# 0: the unit is used only for whole numbers
+# whether format_amount() writes the unit after a number with decimals (1) or only after a whole number (0)
 ALLOWS_DECIMALS = {"us": 1, "ms": 1, "s": 1, "min": 0, "h": 0, "B": 1, "KiB": 1, "MiB": 1, "GiB": 1, "/s": 1,
                    "/min": 0, "/h": 0, "%": 1}
 EXAMPLE_LITERALS = {TIME: "830ms", SIZE: "24KiB", RATE: "190/s", SHARE: "30%", NUMBER: "2"}
--- a/hollystage/plan/sections.py
+++ b/hollystage/plan/sections.py
@@ -113,7 +113,7 @@
     sockets: Annotated[int, Meta(ge=32, le=1_000_000)] = 1024
 
     def problems(self) -> Iterator[Problem]:
-        # measured: 30 MiB for the program and 60 KiB for each connection when the connection table is full
+        # 30 MiB for the program, and 60 KiB for each client connection; they use at most 11/16 of the sockets
         needed = (30 << 20) + self.sockets * 11 // 16 * (60 << 10)
         if needed > self.memory:
             max_sockets = max(32, ((self.memory - (30 << 20)) // (60 << 10)) * 16 // 11)
--- a/hollystage/standins/fleet/budget_check.py
+++ b/hollystage/standins/fleet/budget_check.py
@@ -20,7 +20,7 @@
 
 
 def allocator_datagram_rate(load: Load, members: int) -> float:
-    """Returns the datagrams per second that an allocator may send beyond MAX_DATAGRAMS_PER_S: 1.5 answers a claim."""
+    """Returns the datagrams per second that an allocator may send beyond MAX_DATAGRAMS_PER_S: 1.5 for each claim."""
     return 1.5 * members * CLAIMS_PER_LEASE / (load.lease_ms / 1000) if load.whole else 0.0
 
 
--- a/hollystage/standins/fleet/check.py
+++ b/hollystage/standins/fleet/check.py
@@ -280,7 +280,7 @@
 def agreement_changes(lines: list[Line]) -> list[tuple[int, bool]]:
     """Returns the times (microseconds) at which the views began (True) or ceased (False) to agree.
 
-    Views agree if every member that runs and is not paused holds exactly the running members.
+    Views agree if the view of every running, unpaused member contains exactly the running members.
     """
     view: dict[str, set[str]] = {}
     running: set[str] = set()
--- a/hollystage/standins/fleet/fleet_simulation.py
+++ b/hollystage/standins/fleet/fleet_simulation.py
@@ -238,7 +238,7 @@
     # Views
 
     def views_agree(self, among: list[str] | None = None) -> bool:
-        """Whether all running members hold exactly each other to be living."""
+        """Whether each running member considers exactly the other running members to be alive."""
         names = among or [name for name, node in self.nodes.items() if node.up]
         processes = {name: self.nodes[name].members.me.process for name in names}
         for name in names:
--- a/hollystage/standins/fleet/party.py
+++ b/hollystage/standins/fleet/party.py
@@ -249,6 +249,7 @@
                 pass
             answer = None
         except (OSError, IncompleteMessageError, HttpError) as error:
+            # crossed: a kept connection ended, probably closed by the instance while the request was on its way
             outcome = "crossed" if not is_new and isinstance(
                 error, IncompleteMessageError | ConnectionResetError | BrokenPipeError) \
                 else f"broken {ERROR_WORDS.get(type(error), type(error).__name__)}"
--- a/hollystage/standins/fleet/recovery_check.py
+++ b/hollystage/standins/fleet/recovery_check.py
@@ -127,8 +127,8 @@
 def recovery_metrics(lines: list[Line], before_s: float) -> dict[str, Any]:
     """Measures time to full service from the start of the schedule, and the service lost until then.
 
-    Service is counted as the criticality that is served within the latency target; `before_s` seconds ahead of the
-    schedule are the base.
+    Service is counted as the criticality that is served within the latency target; the base is its rate in the
+    `before_s` seconds before the schedule, without the first of them.
     """
     start = next((line["t"] for line in lines if line["what"] == "schedule"), 0)
     stop = next((line["t"] for line in lines if line["what"] == "stopped"), lines[-1]["t"])
--- a/hollystage/standins/fleet/rig.py
+++ b/hollystage/standins/fleet/rig.py
@@ -107,7 +107,7 @@
 
 
 def boots_of_living(view: dict[str, Any]) -> dict[str, int]:
-    """Returns the boot numbers of the members that a view holds to be living."""
+    """Returns the boot numbers of the members that are alive in a view, including suspected ones."""
     return {row["name"]: row["boot"] for row in view["members"] if row["belief"] in ("alive", "suspect")}
 
 
@@ -307,7 +307,7 @@
         return [name for name, process in self.member_processes.items() if process.poll() is None]
 
     def views_agree(self) -> bool:
-        """Whether all running members serve and hold exactly each other to be living, with the right boot numbers."""
+        """Whether all running members serve, and exactly these are alive in each view, with their boot numbers."""
         names = self.running_members()
         boots: dict[str, int] = {}
         views: list[dict[str, int]] = []
--- a/hollystage/standins/fleet/schedules.py
+++ b/hollystage/standins/fleet/schedules.py
@@ -194,7 +194,7 @@
     "budgets, clocks apart", "budgets, all paused in turn", "budgets, fewer units than members",
     "budgets, state lost")
 
-BUDGET_LOAD: dict[str, Any] = {  # calls of 120 ms: the demand is a little more than the total
+BUDGET_LOAD: dict[str, Any] = {  # 198 calls/s of 120 ms: about 24 in progress; 12 members share 32 units
     "ledger_slots": 500, "ledger_mean_ms": 120.0, "linger_ms": 1000, "rate": 300.0,
     "clients": 200, "work_s": 0.01, "warm_up_s": 4.0}
 
--- a/hollystage/standins/fleet/service_simulation.py
+++ b/hollystage/standins/fleet/service_simulation.py
@@ -1,8 +1,8 @@
 """Service simulation: many instances, their machines, one ledger and callers that retry, in virtual time.
 
-Membership is that of the fleet simulation, on the same clock. Machines start cold, reading requests uses the cores as
-running them does, and calls of a killed instance continue at the ledger. Retries can therefore keep the fleet
-overloaded after a fault is over, the condition under which recovery has to be measured.
+Membership is that of the fleet simulation, on the same clock. Machines start cold, reading an attempt takes time on
+the core of the instance's own process, and calls of a killed instance continue at the ledger. Retries can therefore
+keep the fleet overloaded after a fault is over, the condition under which recovery has to be measured.
 """
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
     max_unread: int = 860  # unread attempts at an instance: the connection table and the listen backlog
     tries: int = 4
     heeds: bool = True  # callers follow Retry-After-Ms and X-Dont-Retry
-    retry_delay: int = 60_000  # delay before a retry of callers that do not
+    retry_delay: int = 60_000  # delay before a retry if they ignore them
     ledger_load: float = 0.6  # share of its slots in use if all RPCs are served
     ledger_mean: int = 20_000
     work: tuple[int, int] = (70_000, 40_000)
@@ -311,7 +311,10 @@
         instance.receive(rpc)
 
     def on_rejected(self, rpc: CallerRpc, advice: int, stay: bool) -> None:
-        """Handles a rejection with the retry delay `advice`; with `stay` the RPC may only return to this instance."""
+        """Handles a rejection: with `stay` the RPC returns to this instance after `advice`, else it goes to another.
+
+        Callers that ignore both try any instance after `retry_delay`.
+        """
         if rpc.retry_at:
             self.retry_results.append((self.clock.now, False))
         rpc.retry_at = 0
--- a/hollystage/standins/scenes.py
+++ b/hollystage/standins/scenes.py
@@ -1,4 +1,4 @@
-"""Simulations of one instance and its ledger under faults with a name, shared by tests and benchmarks."""
+"""Simulations of one instance and its ledger under named faults, shared by tests and benchmarks."""
 from __future__ import annotations
 
 from collections.abc import Callable
