--- a/benchmarks/explore.py
+++ b/benchmarks/explore.py
@@ -16,7 +16,7 @@
 
 sys.path.insert(0, os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
-from hollystage.decisions.budgets import budget_allocator as purses  # noqa: E402
+from hollystage.decisions.budgets import budget_allocator as budget_allocators  # noqa: E402
 from hollystage.decisions.budgets.allocator import Allocator  # noqa: E402
 from hollystage.decisions.budgets.claimant import Claimant, Usage  # noqa: E402
 from hollystage.decisions.budgets.messages import BorrowRequest, Claim, Grants, Loan  # noqa: E402
@@ -32,7 +32,7 @@
 # attributes that do not distinguish states
 UNSEEN = {"_frozen", "counts", "rng", "next_at", "unanswered", "answered_at", "began",
           "first_grant_delay", "gained", "lost", "refused"}
-purses.MIN_DIVISION_INTERVAL_US = 0  # a step is shorter than the interval between two divisions
+budget_allocators.MIN_DIVISION_INTERVAL_US = 0  # a step is shorter than the interval between two divisions
 
 
 def deep_copy(value):
--- a/hollystage/control.py
+++ b/hollystage/control.py
@@ -108,18 +108,19 @@
         """A downstream call ended after `spent` microseconds."""
         self.now = now
         ok, usual = outcome == Outcome.OK, self.typical_call
-        odd = spent > SLOW_CALL_FACTOR * usual > 0 if ok else outcome in REPLY_LOST
-        self.odd_replies.add(odd, now, outcome != Outcome.CANCELLED)
+        slow_or_lost = spent > SLOW_CALL_FACTOR * usual > 0 if ok else outcome in REPLY_LOST
+        self.slow_or_lost_replies.add(slow_or_lost, now, outcome != Outcome.CANCELLED)
         if ok:
             # rises slowly and falls quickly, to estimate the duration of a call when nothing is wrong
             self.typical_call += (spent - usual) * ((0.02 if spent > usual else 0.2) if usual else 1)
         elif outcome == Outcome.TIMEOUT:
             heappush(self.lingering_calls, now + self.settings.linger)
-        bad = not self._few_odd_replies() if odd else outcome not in (Outcome.OK, Outcome.CANCELLED)
+        bad = (not self._few_slow_or_lost_replies() if slow_or_lost
+               else outcome not in (Outcome.OK, Outcome.CANCELLED))
         # the limit keeps all instances together from overloading the dependency, whatever makes calls slow
         calls = self.state_counts[CALLING] + len(self.lingering_calls)
         self.call_limit.on_call_end(
-            result := CallResult(outcome, spent, calls, self.typical_call, odd, bad, now))
+            result := CallResult(outcome, spent, calls, self.typical_call, slow_or_lost, bad, now))
         if self.pools is not None:
             self.pools.on_call_end(rpc, result)
         self._resume(rpc, outcome)
--- a/hollystage/policy/buckets.py
+++ b/hollystage/policy/buckets.py
@@ -25,7 +25,7 @@
 MEMORY_HEADROOM = 0.85  # share of the memory up to which RPCs are admitted
 SLOW_CALL_FACTOR = 3.0  # a call that takes this multiple of the usual time is slow
 STALL_THRESHOLD = 30_000  # a tick this late means that the process was suspended
-MAX_ODD_SHARE = 0.4  # share of slow or lost replies up to which the dependency counts as healthy
+MAX_SLOW_OR_LOST_SHARE = 0.4  # share of slow or lost replies up to which the dependency counts as healthy
 LOST_CALL_FACTOR = 30.0  # multiple of the usual time after which a call that may be repeated counts as lost
 # multiple of the usual cost that must fit before the target while many RPCs are rejected
 STRICT_COST_FACTOR = 1.3
--- a/hollystage/policy/estimates.py
+++ b/hollystage/policy/estimates.py
@@ -9,7 +9,7 @@
 
 IN_QUOTA_COST_FACTOR = 0.75  # replaces STRICT_COST_FACTOR for RPCs within their tenant's quota
 # share of the read RPCs that were rejected elsewhere before; above it peers count as overloaded
-RETRIES_UNDER_PRESSURE = 0.1
+PEER_OVERLOAD_RETRY_SHARE = 0.1
 
 
 class Estimates(Queues):
@@ -19,12 +19,12 @@
         """Time left for one more call: up to the target, less half of the run and one usual call."""
         return min(rpc.target, rpc.due) - self.now - self._expected_work(rpc) / 2 - self.typical_call
 
-    def _few_odd_replies(self) -> bool:
+    def _few_slow_or_lost_replies(self) -> bool:
         """Whether few replies are slow or lost.
 
         A few must neither lower the call limit nor fail waiting RPCs: only many show a faulty dependency.
         """
-        return self.odd_replies.mean(self.now, weight=3) <= MAX_ODD_SHARE
+        return self.slow_or_lost_replies.mean(self.now, weight=3) <= MAX_SLOW_OR_LOST_SHARE
 
     def _reject_reason(self, rpc: Rpc) -> str:
         """Reason why an arriving RPC is rejected; empty if it is admitted."""
@@ -70,7 +70,7 @@
         callers neither mark retries nor send their timeout, the two cases look alike: then only a part of the
         read RPCs is sent elsewhere, too few to flood overloaded peers, enough to relieve a single server.
         """
-        peers_overloaded = (self.likely_retries.mean(self.now) > RETRIES_UNDER_PRESSURE
+        peers_overloaded = (self.likely_retries.mean(self.now) > PEER_OVERLOAD_RETRY_SHARE
                             or self.redirects.mean(self.now) > HIGH_REJECT_SHARE)
         return self._rejects_more_than(HIGH_REJECT_SHARE) and peers_overloaded and not self.capacity_elsewhere
 
--- a/hollystage/policy/lifecycle.py
+++ b/hollystage/policy/lifecycle.py
@@ -90,7 +90,7 @@
             fits_target = rpc.target - self.now - half_work > SLOW_CALL_FACTOR * self.typical_call
             timeout = (rpc.target if fits_target else rpc.due) - self.now - half_work
             loss_timeout = (int(LOST_CALL_FACTOR * self.typical_call)
-                            if idempotent and self._few_odd_replies() else 0)
+                            if idempotent and self._few_slow_or_lost_replies() else 0)
             event = yield Action(ActionKind.CALL, rpc, max(
                 TICK, min(timeout, loss_timeout or timeout, self.pacer.max_call_duration)))
             if event is Outcome.OK:
@@ -99,7 +99,7 @@
             if not isinstance(event, Outcome) or event in (Outcome.CANCELLED, Outcome.MOOT):
                 return event
             # a call is retried only if it provably did not run or may run again
-            lost = event in REPLY_LOST and self._few_odd_replies() and self._time_for_call(rpc) > 0
+            lost = event in REPLY_LOST and self._few_slow_or_lost_replies() and self._time_for_call(rpc) > 0
             may_call = idempotent and lost if method.skip_share > 0 else idempotent or event in NOT_EXECUTED
 
     def _reject(self, rpc: Rpc, last: bool) -> Action:
--- a/hollystage/policy/queues.py
+++ b/hollystage/policy/queues.py
@@ -48,8 +48,8 @@
         self.last_seen: dict[int, int] = {}  # time of the last RPC of each caller
         self.idle_limit, self.returning_callers = (
             settings.max_idle, DecayingSum(now, max(DECAY_SPAN, settings.max_idle)))
-        # means over the read RPCs or, for odd replies (slow or lost), over the downstream calls
-        self.unread_times, self.rejections, self.odd_replies, self.likely_retries, self.redirects = (
+        # means over the read RPCs or, for slow or lost replies, over the downstream calls
+        self.unread_times, self.rejections, self.slow_or_lost_replies, self.likely_retries, self.redirects = (
             DecayingSum(now, RECENT_SPAN) for _ in range(5))
         targets = [m.latency_target for m in settings.methods]
         self.min_target, self.max_target = min(targets), max(targets)
--- a/hollystage/service/recovery_manager.py
+++ b/hollystage/service/recovery_manager.py
@@ -86,7 +86,7 @@
     def tick(self, control: Control, calls: int, now: int) -> None:
         """Updates the bounds of the calls and the pressure level; `calls`: downstream calls that ended so far."""
         bounds = self.ramp_controller.bounds(
-            self.view, calls, control.odd_replies.mean(now), control.typical_call, now)
+            self.view, calls, control.slow_or_lost_replies.mean(now), control.typical_call, now)
         if self.call_limiter is None:
             self.ramp_controller.apply(control, bounds)
         else:
--- a/hollystage/standins/fleet/service_simulation.py
+++ b/hollystage/standins/fleet/service_simulation.py
@@ -203,7 +203,7 @@
         if self.members.view_changed:
             self.view = self.members.view(now)
         self.ramp_controller.apply(control, self.ramp_controller.bounds(
-            self.view, self.instance.calls_ended, control.odd_replies.mean(now), control.typical_call, now))
+            self.view, self.instance.calls_ended, control.slow_or_lost_replies.mean(now), control.typical_call, now))
         is_cold = (self.instance.settings.cold
                    and now - self.instance.started_at < self.instance.simulation.parameters.warm_up_time)
         self.members.set_status(msgspec.structs.replace(
--- a/tests/test_notice.py
+++ b/tests/test_notice.py
@@ -39,29 +39,29 @@
 
 
 @pytest.fixture
-def world(tmp_path):
-    world = ServiceHarness(Interpreter(auto=False), stop_ms=2500)
-    world.path = tmp_path / "config.json"
-    world.path.write_text(json.dumps(world.json_config))
-    yield world
-    for peer in (world.interpreter, world.ledger, world.control):
+def harness(tmp_path):
+    harness = ServiceHarness(Interpreter(auto=False), stop_ms=2500)
+    harness.path = tmp_path / "config.json"
+    harness.path.write_text(json.dumps(harness.json_config))
+    yield harness
+    for peer in (harness.interpreter, harness.ledger, harness.control):
         peer.close()
 
 
 @pytest.fixture
-def process(world):
-    started = start_process(world)
-    wait_until(lambda: world.control.received)
-    wait_until(lambda: world.interpreter.commands("TOP"))
+def process(harness):
+    started = start_process(harness)
+    wait_until(lambda: harness.control.received)
+    wait_until(lambda: harness.interpreter.commands("TOP"))
     yield started
     started.kill()
     started.wait()
     started.stderr.close()
 
 
-def start_process(world):
+def start_process(harness):
     return subprocess.Popen([sys.executable, "-m", "hollystage", "serve"], stderr=subprocess.PIPE,
-                            env={**os.environ, "PROXY_CONFIG": str(world.path)})
+                            env={**os.environ, "PROXY_CONFIG": str(harness.path)})
 
 
 def is_stopped(pid):
@@ -74,17 +74,17 @@
 
 
 @pytest.mark.parametrize("connections", ["new", "kept", "several", "many"])
-def test_rpcs_that_arrive_during_a_pause_after_the_drain_grace_are_not_run(world, process, connections):
-    kept = [world.caller() for _ in range({"new": 0, "kept": 1, "several": 1, "many": 30}[connections])]
+def test_rpcs_that_arrive_during_a_pause_after_the_drain_grace_are_not_run(harness, process, connections):
+    kept = [harness.caller() for _ in range({"new": 0, "kept": 1, "several": 1, "many": 30}[connections])]
     for number, caller in enumerate(kept, 1):  # each connection has served an RPC and is idle
         caller.send("order")
-        world.interpreter.end(world.interpreter.await_runs(number)[-1])
+        harness.interpreter.end(harness.interpreter.await_runs(number)[-1])
         assert caller.receive().keep_alive
     pause(process)
     time.sleep(0.2)
     process.send_signal(signal.SIGTERM)
     time.sleep(GRACE_S + 0.3)
-    callers = kept or [world.caller() for _ in range(5)]
+    callers = kept or [harness.caller() for _ in range(5)]
     rpcs = 3 if connections == "several" else 1
     for caller in callers:
         for _ in range(rpcs):
@@ -92,57 +92,57 @@
     time.sleep(0.2)  # the kernel delays small messages until the first one is acknowledged
     process.send_signal(signal.SIGCONT)
     statuses = [caller.receive().status for caller in callers for _ in range(rpcs)]
-    assert set(statuses) == {503} and len(world.interpreter.commands("APPLY")) == len(kept)
+    assert set(statuses) == {503} and len(harness.interpreter.commands("APPLY")) == len(kept)
     assert process.wait(4) == 0
 
 
-def test_rpcs_that_run_before_a_pause_are_answered_and_a_pause_without_notice_rejects_nothing(world, process):
-    running = world.caller().send("order")
-    (ident,) = world.interpreter.await_runs()
+def test_rpcs_that_run_before_a_pause_are_answered_and_a_pause_without_notice_rejects_nothing(harness, process):
+    running = harness.caller().send("order")
+    (ident,) = harness.interpreter.await_runs()
     pause(process)
     time.sleep(GRACE_S + 0.3)
-    within = world.caller().send("order")
+    within = harness.caller().send("order")
     process.send_signal(signal.SIGCONT)  # no notice was given, so the RPC runs
-    second = wait_until(lambda: set(world.interpreter.await_runs(2)) - {ident}).pop()
+    second = wait_until(lambda: set(harness.interpreter.await_runs(2)) - {ident}).pop()
     pause(process)
     process.send_signal(signal.SIGTERM)
     time.sleep(0.5)
     process.send_signal(signal.SIGCONT)
-    world.interpreter.end(ident, b"one")
-    world.interpreter.end(second, b"two")
+    harness.interpreter.end(ident, b"one")
+    harness.interpreter.end(second, b"two")
     assert [running.receive().body, within.receive().body] == [b"one", b"two"] and process.wait(4) == 0
     assert "instance.unheard" not in process.stderr.read().decode()
 
 
-def test_a_process_that_resumes_after_its_stop_time_answers_everything_immediately(world, process):
-    running = world.caller().send("order")
-    world.interpreter.await_runs()
+def test_a_process_that_resumes_after_its_stop_time_answers_everything_immediately(harness, process):
+    running = harness.caller().send("order")
+    harness.interpreter.await_runs()
     pause(process)
     process.send_signal(signal.SIGTERM)
     time.sleep(2.7)
-    late = world.caller().send("order")
+    late = harness.caller().send("order")
     resumed = time.monotonic()
     process.send_signal(signal.SIGCONT)
     assert [running.receive().status, late.receive().status] == [500, 503]
-    assert process.wait(4) == 0 and time.monotonic() - resumed < 1.5 and len(world.interpreter.await_runs()) == 1
+    assert process.wait(4) == 0 and time.monotonic() - resumed < 1.5 and len(harness.interpreter.await_runs()) == 1
 
 
-def test_a_notice_is_handled_during_a_reload(world, process):
-    idle = world.caller()
-    world.path.unlink()
-    os.mkfifo(world.path)  # a reader blocks until the FIFO has a writer
+def test_a_notice_is_handled_during_a_reload(harness, process):
+    idle = harness.caller()
+    harness.path.unlink()
+    os.mkfifo(harness.path)  # a reader blocks until the FIFO has a writer
     process.send_signal(signal.SIGHUP)
     time.sleep(0.2)
     process.send_signal(signal.SIGTERM)
     assert idle.wait_closed()
     time.sleep(0.1)
     with pytest.raises((ConnectionRefusedError, ConnectionResetError, TimeoutError)):
-        socket.create_connection(world.listen, 0.5)
-    assert process.wait(4) == 0 and not world.interpreter.commands("APPLY")
+        socket.create_connection(harness.listen, 0.5)
+    assert process.wait(4) == 0 and not harness.interpreter.commands("APPLY")
 
 
-def test_the_grace_of_a_notice_right_after_a_start_begins_at_the_start(world):
-    started = start_process(world)
+def test_the_grace_of_a_notice_right_after_a_start_begins_at_the_start(harness):
+    started = start_process(harness)
     blocked = signal.SIGTERM - 1
     wait_until(lambda: int(next(line for line in open(f"/proc/{started.pid}/status") if line.startswith("SigBlk"))
                            .split()[1], 16) >> blocked & 1)
@@ -152,9 +152,9 @@
     started.send_signal(signal.SIGCONT)
     while started.poll() is None:
         try:
-            caller = world.caller().send("order")
+            caller = harness.caller().send("order")
             assert caller.receive().status == 503
         except (OSError, IncompleteMessageError):
             continue  # not started yet, or already ended
-    assert started.wait() == 0 and not world.interpreter.commands("APPLY")
+    assert started.wait() == 0 and not harness.interpreter.commands("APPLY")
     started.stderr.close()
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -226,73 +226,73 @@
 POOLED = {"pooling": PoolConfig((Pool("reads", 0.5), Pool("writes", 0.5)), (0, 1)), "cores": 4}
 
 
-def pooled_box(**changes):
+def pooled_harness(**changes):
     return ControlHarness(lookup(), booking(), **{**POOLED, **changes})
 
 
 def test_within_a_pool_the_smallest_tag_starts_first_and_pools_keep_their_share():
-    box = pooled_box()
-    reads = [box.send(box.methods[0]) for _ in range(8)]
-    assert [box.did(rpc)[-1:] for rpc in reads[:4]] == [[ActionKind.START]] * 4  # the idle pool lends its slots
-    write = box.send(box.methods[1])
-    assert ActionKind.START not in box.did(write)
-    box.end(reads[0])
-    assert ActionKind.START in box.did(write)  # the next free slot goes to the lender
-    box.end(reads[1])
-    started = [rpc for rpc in reads if ActionKind.START in box.did(rpc)]
+    harness = pooled_harness()
+    reads = [harness.send(harness.methods[0]) for _ in range(8)]
+    assert [harness.did(rpc)[-1:] for rpc in reads[:4]] == [[ActionKind.START]] * 4  # the idle pool lends its slots
+    write = harness.send(harness.methods[1])
+    assert ActionKind.START not in harness.did(write)
+    harness.end(reads[0])
+    assert ActionKind.START in harness.did(write)  # the next free slot goes to the lender
+    harness.end(reads[1])
+    started = [rpc for rpc in reads if ActionKind.START in harness.did(rpc)]
     assert started == reads[:5]
 
 
 def test_the_heir_of_a_removed_pool_takes_over_its_rpcs():
-    box = pooled_box(pooling=PoolConfig((Pool("reads", 0.5, heir="writes"), Pool("writes", 0.5)), (0, 1)))
-    reads = [box.send(box.methods[0]) for _ in range(6)]
-    box.control.update_pools(PoolConfig((Pool("other", 0.3), Pool("writes", 0.7)), (1, 1)), box.now)
-    box.flush()
-    assert box.control.pools.cores.usage[1].in_use == 4 and box.control.pools.in_progress == [0, 4]
+    harness = pooled_harness(pooling=PoolConfig((Pool("reads", 0.5, heir="writes"), Pool("writes", 0.5)), (0, 1)))
+    reads = [harness.send(harness.methods[0]) for _ in range(6)]
+    harness.control.update_pools(PoolConfig((Pool("other", 0.3), Pool("writes", 0.7)), (1, 1)), harness.now)
+    harness.flush()
+    assert harness.control.pools.cores.usage[1].in_use == 4 and harness.control.pools.in_progress == [0, 4]
     for rpc in reads:
-        box.end(rpc)
-    assert all(ActionKind.START in box.did(rpc) for rpc in reads) and box.control.pools.in_progress == [0, 0]
-    box.control.update_pools(None, box.now)
-    late = box.send(box.methods[0])
-    box.control.update_pools(POOLED["pooling"], box.now)
-    box.flush()
-    box.end(late)
-    assert box.control.pools.in_progress == [0, 0] and box.control.state_counts["running"] == 0
+        harness.end(rpc)
+    assert all(ActionKind.START in harness.did(rpc) for rpc in reads) and harness.control.pools.in_progress == [0, 0]
+    harness.control.update_pools(None, harness.now)
+    late = harness.send(harness.methods[0])
+    harness.control.update_pools(POOLED["pooling"], harness.now)
+    harness.flush()
+    harness.end(late)
+    assert harness.control.pools.in_progress == [0, 0] and harness.control.state_counts["running"] == 0
 
 
 def test_a_pool_that_shrinks_under_load_drains_without_aborts():
-    box = pooled_box()
-    reads = [box.send(box.methods[0]) for _ in range(8)]
-    box.control.update_pools(PoolConfig((Pool("reads", 0.25, 0.25), Pool("writes", 0.75)), (0, 1)), box.now)
+    harness = pooled_harness()
+    reads = [harness.send(harness.methods[0]) for _ in range(8)]
+    harness.control.update_pools(PoolConfig((Pool("reads", 0.25, 0.25), Pool("writes", 0.75)), (0, 1)), harness.now)
     for rpc in reads[:3]:
-        box.end(rpc)
-    assert sum(ActionKind.START in box.did(rpc) for rpc in reads) == 4 \
-        and ActionKind.ABORT not in [action.kind for action in box.actions]
-    box.end(reads[3])
-    assert sum(ActionKind.START in box.did(rpc) for rpc in reads) == 5
+        harness.end(rpc)
+    assert sum(ActionKind.START in harness.did(rpc) for rpc in reads) == 4 \
+        and ActionKind.ABORT not in [action.kind for action in harness.actions]
+    harness.end(reads[3])
+    assert sum(ActionKind.START in harness.did(rpc) for rpc in reads) == 5
 
 
 def test_a_repeated_rpc_with_an_idempotency_key_joins_its_run_after_a_change_of_pools():
-    box = pooled_box()
-    first = box.send(box.methods[1])
-    box.control.update_pools(PoolConfig((Pool("one", 1.0),), (0, 0)), box.now)
-    repeated = box.send(box.methods[1], earlier=first)
-    assert box.did(repeated) == [ActionKind.JOIN]
-    box.end(first)
-    assert box.did(first).count(ActionKind.START) == 1
+    harness = pooled_harness()
+    first = harness.send(harness.methods[1])
+    harness.control.update_pools(PoolConfig((Pool("one", 1.0),), (0, 0)), harness.now)
+    repeated = harness.send(harness.methods[1], earlier=first)
+    assert harness.did(repeated) == [ActionKind.JOIN]
+    harness.end(first)
+    assert harness.did(first).count(ActionKind.START) == 1
 
 
 def test_retries_of_calls_are_taken_from_the_pools_retry_budget():
     method = lookup(skip_share=0.3)
-    box = ControlHarness(method, calls_out=20.0, pooling=PoolConfig(
+    harness = ControlHarness(method, calls_out=20.0, pooling=PoolConfig(
         (Pool("p", 1.0, retry_ratio=0.0, min_retries_per_s=0.1),), (0,)))
-    rpcs = [box.send() for _ in range(2)]
+    rpcs = [harness.send() for _ in range(2)]
     for rpc in rpcs:
-        box.at_call(rpc)
-        box.end_call(rpc, Outcome.TIMEOUT)
+        harness.at_call(rpc)
+        harness.end_call(rpc, Outcome.TIMEOUT)
     # the budget allows one retry in ten seconds
-    assert [box.did(rpc).count(ActionKind.CALL) for rpc in rpcs] == [2, 1]
-    assert box.did(rpcs[1])[-1] is ActionKind.SKIP
+    assert [harness.did(rpc).count(ActionKind.CALL) for rpc in rpcs] == [2, 1]
+    assert harness.did(rpcs[1])[-1] is ActionKind.SKIP
 
 
 # Simulations
@@ -385,15 +385,15 @@
 
 def test_an_instance_serves_with_pools_and_changes_them_at_a_reload():
     plan = read(MemoryFolder({"a": PLAN.encode()}), "a").plan
-    with ServiceHarness(Interpreter(), ScriptedHttpServer(reply(200, b"posted")), plan=plan) as world:
-        caller = world.caller()
+    with ServiceHarness(Interpreter(), ScriptedHttpServer(reply(200, b"posted")), plan=plan) as harness:
+        caller = harness.caller()
         assert [caller.request("lookup").status for _ in range(3)] == [200] * 3
-        driver = world.instance.driver
+        driver = harness.instance.driver
         assert driver.control.pools.count == 2 and driver.metrics()["pool.reads.started_in_need"] >= 3
         changed = read(MemoryFolder({"a": PLAN.replace("40%", "30%").encode()}), "a").plan
-        world.instance.reload(world.config(plan=changed))
+        harness.instance.reload(harness.config(plan=changed))
         assert driver.control.pools.pooling.pools[0].guaranteed == 0.3
         assert caller.request("order").status == 200
-        world.instance.reload(world.config(plan=None))
+        harness.instance.reload(harness.config(plan=None))
         assert driver.control.pools is None and caller.request("lookup").status == 200
         wait_until(lambda: not driver.exchanges)
