--- a/hollystage/control.py
+++ b/hollystage/control.py
@@ -21,6 +21,7 @@
 # share of a latency target that the queueing time may reach before callers are asked to send less
 LONG_QUEUE_SHARE = 0.25
 MAX_REMEMBERED_CALLERS = 4096
+MIN_QUOTA_VALUE = 0.05  # lower values of RPCs beyond quotas do not lower the tags of the others further
 MIN_IDLE_LIMIT = 10_000  # shortest idle limit of connections, microseconds
 # mean unread time as a share of the longest latency target: above the first value idle connections are kept
 # for the configured time, even if the table of connections fills up, until it falls below the second value
@@ -76,9 +77,9 @@
             rpc.caller, self.method_numbers[method], now)
         if rpc.promised:
             rpc.level = 1
-        # class spacing: the more critical a method, the smaller the finish tags of its first class
+        # class spacing: the more valuable a client, the smaller the finish tags of its first class
         rpc.tag = read_at + int(
-            client.deltas[rpc.level - 1] * (self.criticality_factor[method] if rpc.level == 1 else 1))
+            client.deltas[rpc.level - 1] * (self._first_class_factor(client) if rpc.level == 1 else 1))
         if rpc.promised:
             rpc.tag = read_at + (rpc.tag - read_at) // 4  # capacity is reserved for it: ahead of its class
         self._push(self.due_queue, rpc.due, rpc)
@@ -247,15 +248,15 @@
         for client in self.clients.values():
             rate, cost = (
                 client.arrivals.read(self.now) * 1e6 / DECAY_SPAN, self._usual_cost(client.method) / 1e6)
-            quota = (client.tenant.quota_per_s / self.settings.peers * DECAY_SPAN / 1e6
-                     if client.tenant else 0.0)
-            within = min(1.0, quota / arrivals[client.tenant]) if quota and arrivals[client.tenant] else 1.0
+            within = self._share_within_quota(client.tenant, arrivals[client.tenant])
             # RPCs beyond a tenant's quota are not marked: each RPC of the tenant counts with the mean value
-            value = client.method.criticality * (within + (1 - within) * self.settings.over_quota_worth)
+            client.quota_value = within + (1 - within) * self.settings.over_quota_worth
+            value = client.method.criticality * client.quota_value
             # per work: a second on the cores has the same value whatever an RPC costs
             value *= cost if self.settings.criticality_per_work else 1
             # twice the rate, since the rate of a few RPCs a second is a noisy sample
             needs.append((client, 2 * rate * cost + 0.01, value / cost, cost))
+        self.min_quota_value = min((client.quota_value for client in self.clients.values()), default=1.0)
         rates = dict.fromkeys(self.clients.values(), 0.0)
         capacity = self.run_limit
         # water-filling: almost a strict priority order where criticality differs much, almost equal shares
@@ -279,6 +280,25 @@
                 [(self.method_numbers[m], rate, costs[m]) for m, rate in method_rates.items()],
                 self.run_limit)
 
+    def _first_class_factor(self, client: Client) -> float:
+        """Factor of the finish tags of a client's first class, 1 for the least valuable client.
+
+        Without it RPCs of tenants within their quotas would queue behind those of a tenant far beyond its own.
+        """
+        lowest = max(MIN_QUOTA_VALUE, self.min_quota_value)
+        factor: float = (lowest / max(lowest, client.quota_value)) ** 0.5
+        return self.criticality_factor[client.method] * factor
+
+    def _share_within_quota(self, tenant: Tenant | None, arrivals: float) -> float:
+        """Share of a tenant's recent arrivals that its quota covers; `arrivals` is their decayed count.
+
+        RPCs of no known tenant are covered by none, so that they do not compete with those of the tenants.
+        """
+        if tenant is None:
+            return 0.0 if self.settings.tenants else 1.0
+        quota = tenant.quota_per_s / self.settings.peers * DECAY_SPAN / 1e6
+        return min(1.0, quota / arrivals) if quota and arrivals else 1.0
+
     def _update_idle_limit(self) -> None:
         """Adapts how long idle connections are kept."""
         # keeps the table of connections from overflowing: where few RPCs come from callers that were seen
--- a/hollystage/plan/model.py
+++ b/hollystage/plan/model.py
@@ -94,7 +94,7 @@
             "Profiles": [
                 {"Name": m.name, "Repeat": PLATFORM_METHOD_KINDS[m.kind], "Value": m.criticality,
                  "PromiseUs": m.target, "GiveUpUs": m.deadline, "WindowUs": m.window} for m in methods],
-            "Tenants": [{"QuotaPerS": tenant.quota or 0} for tenant in tenants] or None,
+            "Tenants": [{"Name": tenant.name, "QuotaPerS": tenant.quota or 0} for tenant in tenants] or None,
             "PeersTotal": fleet.instances, "OverShareWorth": fleet.over_share,
             "WorthBy": fleet.worth_by}
 
--- a/hollystage/policy/buckets.py
+++ b/hollystage/policy/buckets.py
@@ -85,6 +85,7 @@
     def __init__(self, tenant: Tenant | None, method: Method, rho: float, now: int) -> None:
         self.tenant, self.method, self.rho, self.updated_at = tenant, method, rho, now
         self.arrivals = DecayingSum(now)
+        self.quota_value = 1.0  # mean value of its RPCs relative to one within the tenant's quota
         first, last = method.latency_target, max(method.deadline, method.latency_target)
         self.deltas = [first + (last - first) * j // (BUCKETS - 1) for j in range(BUCKETS)]
         self.deltas.append(int(last * TAIL_DELTA_FACTOR))
--- a/hollystage/policy/queues.py
+++ b/hollystage/policy/queues.py
@@ -40,6 +40,7 @@
         self.memory = self.other_runnable = self.cpu_busy = self.typical_call = 0.0
         self.run_limit = float(settings.cores)
         self.clients: dict[tuple[Tenant | None, Method], Client] = {}
+        self.min_quota_value = 1.0  # lowest `quota_value` of a client
         # by method: times on the cores, ages at which first attempts were rejected, times off the cores
         self.run_times, self.reject_ages, self.off_core_times = (
             {m: DecayingSum(now) for m in settings.methods} for _ in range(3))
--- a/hollystage/service/clients.py
+++ b/hollystage/service/clients.py
@@ -22,6 +22,7 @@
 from .http import HttpError, Request, encode_response, parse_rpc_fields, percent_decode, read_request
 from .interpreter import InterpreterLink
 from .ledger_client import LedgerClient
+from .tenants import TenantDirectory
 
 # from a connection's start to the end of its first message; closes silent and slow connections
 FIRST_MESSAGE_TIMEOUT_S = 1.5
@@ -33,6 +34,9 @@
 # accepted X-Request-Start: how far ahead of our clock, how far past the method's deadline
 MAX_CLOCK_AHEAD_MS, MAX_PAST_DEADLINE_MS = 5_000, 30_000
 MAX_TIMEOUT_DEADLINES = 10  # largest X-Timeout-Ms, in deadlines of the method
+# a larger X-Cost-Ms counts as this many deadlines of the method, so that one caller cannot distort the learned
+# ratio of work to hints without bound
+MAX_HINT_DEADLINES = 10
 DEEP_CHECK_TIMEOUT_S = 1.0  # for the interpreter to answer a deep health check
 DECISION_TIMEOUT_S = 1.0  # past an RPC's due time; the decision module must have answered long before
 BIND_TIMEOUT_S = 2.0  # how long the listen address may still be in use
@@ -49,9 +53,10 @@
 class ClientConnections:
     """Owns the listener and every accepted connection; a connection is served by a thread of its own."""
 
-    def __init__(self, address: Address, names: list[str], driver: Driver, link: InterpreterLink,
-                 ledger: LedgerClient, max_connections: int, pool: BufferPool, counters: Counters, log: Any) -> None:
-        self.driver, self.link, self.ledger, self.pool = driver, link, ledger, pool
+    def __init__(self, address: Address, names: list[str], tenants: TenantDirectory, driver: Driver,
+                 link: InterpreterLink, ledger: LedgerClient, max_connections: int, pool: BufferPool,
+                 counters: Counters, log: Any) -> None:
+        self.tenants, self.driver, self.link, self.ledger, self.pool = tenants, driver, link, ledger, pool
         self.counters, self.log = counters, log
         self.methods = dict(zip(names, driver.settings.methods, strict=True))
         self.lock = threading.Lock()
@@ -334,7 +339,9 @@
             raise HttpError(400, "x-timeout-ms is out of range")
         unread_time = max(0, unread_time)
         timeout = max(1, header.timeout_ms * 1000 - unread_time) if header.timeout_ms is not None else 0
-        rpc = Rpc(method, header.caller, None, header.memory_kb, timeout, unread_time, header.is_retry)
+        work_hint = min(round(header.cost_ms * 1000), MAX_HINT_DEADLINES * method.deadline)
+        rpc = Rpc(method, header.caller, self.tenants.find(header.tenant), header.memory_kb, timeout, unread_time,
+                  header.is_retry, work_hint=work_hint)
         key = (name, header.idempotency_key) if method.kind is MethodKind.KEYED and header.idempotency_key else None
         exchange = Exchange(rpc, header.request_id, key, request.body if key else b"")
         error = self.driver.arrived(exchange)
--- a/hollystage/service/config.py
+++ b/hollystage/service/config.py
@@ -84,6 +84,10 @@
     for index, name in enumerate(names):
         if not name or name in names[:index]:
             raise ConfigError(f"settings.Profiles[{index}].Name: {name!r} is empty or not unique")
+    tenant_names = [tenant.name.strip(" \t") for tenant in config.settings.tenants or []]
+    for index, name in enumerate(tenant_names):
+        if name and name in tenant_names[:index]:
+            raise ConfigError(f"settings.Tenants[{index}].Name: {name!r} is not unique")
     if plan is not None:
         config.plan, config.overruled = plan, sorted(key for key in from_plan if key in from_json)
         for entry in plan.entries:
--- a/hollystage/service/http.py
+++ b/hollystage/service/http.py
@@ -13,10 +13,12 @@
 FIELD_FORMATS = {name: re.compile(pattern, re.ASCII).fullmatch for name, pattern in {
     "x-request-id": r"[0-9A-Fa-f]{16}", "x-request-start": r"\d{1,15}", "x-caller": r"\d{1,9}",
     "x-memory-kb": r"\d{1,4}(\.\d{1,20})?", "x-timeout-ms": r"\d{1,9}", "x-retry": r"[01]",
-    "x-rank": r"0(\.\d{1,20})?", "x-object": r"[\x21-\x7e]{1,128}", "idempotency-key": r"[\x21-\x7e]{1,128}",
+    "x-rank": r"0(\.\d{1,20})?", "x-cost-ms": r"\d{1,9}(\.\d{1,20})?",
+    "x-object": r"[\x21-\x7e]{1,128}", "idempotency-key": r"[\x21-\x7e]{1,128}",
 }.items()}
 REQUIRED_FIELDS = {"x-request-id", "x-request-start", "x-caller", "x-memory-kb"}
-SINGLE_FIELDS = {"content-length", "host", "transfer-encoding", *FIELD_FORMATS}  # a repeated one would be ambiguous
+# a repeated one would be ambiguous
+SINGLE_FIELDS = {"content-length", "host", "transfer-encoding", "x-tenant", *FIELD_FORMATS}
 PERCENT_ESCAPE = re.compile(rb"%([0-9A-Fa-f]{2})")
 REASONS = {200: "OK", 204: "No Content", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
            408: "Request Timeout", 411: "Length Required", 413: "Content Too Large",
@@ -62,6 +64,8 @@
     is_retry: bool
     memory_kb: float
     idempotency_key: str | None
+    tenant: str | None
+    cost_ms: float  # the caller's estimate of the work; 0 if none was given
 
 
 def _parse_fields(head: bytes, position: int) -> dict[str, str]:
@@ -150,8 +154,8 @@
     """Parses and checks the header fields of an RPC.
 
     >>> given = {"x-request-id": "9b1f03aa5c7e2d41", "x-request-start": "1764576000123", "x-caller": "4"}
-    >>> parse_rpc_fields(given | {"x-memory-kb": "24.5", "x-retry": "1"})[2:]
-    (4, None, True, 24.5, None)
+    >>> parse_rpc_fields(given | {"x-memory-kb": "24.5", "x-retry": "1", "x-cost-ms": "507.12"})[2:]
+    (4, None, True, 24.5, None, None, 507.12)
     >>> parse_rpc_fields(given | {"x-memory-kb": "2000"})
     Traceback (most recent call last):
     hollystage.service.http.HttpError: x-memory-kb is missing or malformed
@@ -168,7 +172,7 @@
         raise HttpError(400, "x-memory-kb is missing or malformed")
     return RpcFields(fields["x-request-id"], int(fields["x-request-start"]), int(fields["x-caller"]),
                      int(timeout) if timeout else None, fields.get("x-retry") == "1", memory,
-                     fields.get("idempotency-key"))
+                     fields.get("idempotency-key"), fields.get("x-tenant"), float(fields.get("x-cost-ms", 0)))
 
 
 def percent_decode(text: str) -> str:
--- a/hollystage/service/instance.py
+++ b/hollystage/service/instance.py
@@ -21,6 +21,7 @@
 from .health_reporter import HealthReporter
 from .interpreter import InterpreterLink
 from .ledger_client import LedgerClient
+from .tenants import TenantDirectory
 
 if TYPE_CHECKING:
     from .peers import Peers
@@ -53,8 +54,11 @@
         self.health_reporter = HealthReporter(config.address("control"), config.name, self.driver, pool,
                                               self.counters, log)
         names = [profile.name for profile in config.settings.profiles]
-        self.clients = ClientConnections(config.address("listen"), names, self.driver, self.link, self.ledger,
-                                         max_client_connections(sockets, calls), pool, self.counters, log)
+        tenants = TenantDirectory([tenant.name for tenant in config.settings.tenants or []], settings.tenants,
+                                  self.counters, log)
+        self.clients = ClientConnections(
+            config.address("listen"), names, tenants, self.driver, self.link, self.ledger,
+            max_client_connections(sockets, calls), pool, self.counters, log)
         self.peers = self._make_peers()
         if self.peers is not None:
             self.health_reporter.start_delay_us = self.peers.recovery.jitter.delay(
--- a/hollystage/settings.py
+++ b/hollystage/settings.py
@@ -81,8 +81,9 @@
 
 
 class TenantQuota(SettingsPart):
-    """Quota of one tenant, RPCs a second over all instances."""
+    """A tenant: its name in X-Tenant and its quota, RPCs a second over all instances."""
 
+    name: str = ""
     quota_per_s: NonNegative = 0
 
 
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -414,9 +414,10 @@
         assert (REJECT in harness.did(harness.send())) == rejected
 
 
-def test_tenant_beyond_its_quota_gets_a_lower_rate():
-    inside, beyond = Tenant(1000.0), Tenant(0.5)
-    harness = ControlHarness(tenants=[inside, beyond], over_quota_worth=0.1)
+@pytest.mark.parametrize("beyond", [Tenant(0.5), None])  # None: an RPC of no known tenant
+def test_tenant_beyond_its_quota_gets_a_lower_rate(beyond):
+    inside = Tenant(1000.0)
+    harness = ControlHarness(tenants=[inside, beyond or Tenant(0.5)], over_quota_worth=0.1)
     for _ in range(300):
         for tenant in (inside, beyond):
             harness.send(tenant=tenant)
@@ -425,6 +426,19 @@
     assert rates[0] > 3 * rates[1] > 0
 
 
+@pytest.mark.parametrize("over_quota_worth", [0.1, 0.0])
+def test_rpc_within_its_quota_starts_before_earlier_ones_beyond_theirs(over_quota_worth):
+    inside, beyond = Tenant(1000.0), Tenant(0.5)
+    harness = ControlHarness(tenants=[inside, beyond], over_quota_worth=over_quota_worth, memory=1e6)
+    first, *_ = [harness.send(tenant=tenant) for tenant in [inside] + 20 * [beyond]]
+    harness.control._update_rates()
+    assert harness.send(tenant=beyond).level == 1
+    harness.now += SECOND // 2
+    rpc = harness.send(tenant=inside)
+    harness.end(first)
+    assert rpc in harness.start_times
+
+
 def test_time_of_halted_runs_counts_as_cost():
     harness = ControlHarness(lookup(latency_target=SECOND, deadline=SECOND), lookup())
     halted, other = harness.fill(harness.methods[0], 1)[0], harness.methods[1]
