--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,23 +1,30 @@
 """A pytest plugin that deselects and prints the tests that are listed as failing because of an open fault.
 
-`.ci/run` names the list. A line is `test, cause, issue`. More than MAX_ENTRIES lines, a malformed line, or a line
-that names no collected test is an error, so that the list cannot hide any other test.
+`.ci/run` names the list. A line is `command, seed, what was seen, issue`: the command is `pytest` and one test id,
+the seed a whole number, or `-` where the test has none, and the issue a number. What was seen may contain commas.
+More than MAX_ENTRIES lines, a malformed line, or a line that names no collected test is an error, so that the list
+cannot hide any other test.
 """
 from __future__ import annotations
 
 import pathlib
+import re
 from typing import NamedTuple
 
 import pytest
 
 MAX_ENTRIES = 3  # lines
+# a test id has spaces and commas only in the brackets of its parameters
+LINE = re.compile(r"pytest (?P<test>[^\s,\[]+::[^\s,\[]+(\[.+?\])?), "
+                  r"(?P<seed>\d+|-), (?P<seen>[^\s,].*), (?P<issue>\d+)")
 
 
 class Entry(NamedTuple):
     """One line of the list."""
 
     test: str
-    cause: str
+    seed: str
+    seen: str
     issue: str
 
 
@@ -36,10 +43,11 @@
         raise KnownRedError(f"{path.name}: {len(lines)} lines, at most {MAX_ENTRIES} are allowed")
     entries = []
     for number, line in enumerate(lines, 1):
-        test, *rest = (part.strip() for part in line.split(","))
-        if len(rest) < 2 or not test or not all(rest):
-            raise KnownRedError(f"{path.name}:{number}: not of the form `test, cause, issue`")
-        entries.append(Entry(test, ", ".join(rest[:-1]), rest[-1]))
+        match = LINE.fullmatch(line.strip())
+        if match is None:
+            raise KnownRedError(f"{path.name}:{number}: not of the form `pytest TEST_ID, SEED or -, WHAT WAS SEEN, "
+                                "ISSUE NUMBER`")
+        entries.append(Entry(**match.groupdict()))
     return entries
 
 
@@ -69,5 +77,5 @@
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
         """Prints the listed tests."""
-        for entry in self.entries:
-            terminalreporter.write_line(f"known red, deselected: {entry.test}: {entry.cause} (issue {entry.issue})")
+        for test, seed, seen, issue in self.entries:
+            terminalreporter.write_line(f"known red, deselected: pytest {test}, seed {seed}: {seen} (issue {issue})")
