--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -90,8 +90,7 @@
 def served_shares(rates):
     """Plays traffic of these rates (RPCs a second by tenant) and returns the share served in time by tenant."""
     interpreter = SimulatedInterpreter(2, {"lookup": 0.04})  # 50 runs a second
-    domain = SETTINGS["Domain"] | {"IdleUs": 0}  # connections are kept
-    with with_tenants(interpreter, Domain=domain, Profiles=[OVERLOAD_PROFILE], OverShareWorth=0.1) as harness:
+    with with_tenants(interpreter, Profiles=[OVERLOAD_PROFILE], OverShareWorth=0.1) as harness:
         wait_until(lambda: harness.instance.link.synced)
         traffic = [TenantTraffic(harness, name, rate, connections=max(4, int(rate / 2)))
                    for name, rate in rates.items()]
