--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -588,6 +588,18 @@
     return started
 
 
+def read_log(started, words):
+    """Reads the log of a process up to a line with these words and returns it; kills the process if none comes."""
+    watchdog, log = threading.Timer(START_TIMEOUT_S, started.kill), ""
+    watchdog.start()
+    while words not in log:
+        line = started.stderr.readline().decode()
+        assert line, log
+        log += line
+    watchdog.cancel()
+    return log
+
+
 @pytest.fixture
 def process(tmp_path):
     harness = ServiceHarness(Interpreter(auto=False))
@@ -678,13 +690,12 @@
     path = tmp_path / "config.json"
     first = harness.caller().send("order", b"1")
     (request_id,) = harness.interpreter.await_runs()
-    for text in ('{"name": "n3", "vm', json.dumps(harness.json_config | {"ledger": 7})):  # incomplete; invalid
-        path.write_text(text)
+    log = ""
+    for text, words in (('{"name": "n3", "vm', "not JSON"),  # incomplete; invalid; absent
+                        (json.dumps(harness.json_config | {"ledger": 7}), "$.ledger"), (None, "cannot be read")):
+        path.write_text(text) if text else path.unlink()
         started.send_signal(signal.SIGHUP)
-        time.sleep(0.1)  # pending signals of one number are merged
-    path.unlink()
-    started.send_signal(signal.SIGHUP)
-    time.sleep(0.1)
+        log += read_log(started, words)  # pending signals of one number are merged
     if draining:
         started.terminate()
     old, ledger, control = harness.interpreter, harness.ledger, harness.control
@@ -709,7 +720,7 @@
             assert second.receive().status == 200
             started.terminate()
         assert started.wait(3) == 0
-    log = started.stderr.read().decode()
+    log += started.stderr.read().decode()
     for words in ("not JSON", "$.ledger", "cannot be read", "kept_until_a_restart=['stop_ms']", "=drained"):
         assert words in log
 
@@ -781,12 +792,10 @@
     harness.caller().send("order")
     harness.interpreter.await_runs()
     started.send_signal(signal.SIGUSR1)
-    line = wait_until(lambda: started.stderr.readline().decode())
-    while "event=counters" not in line:
-        line = started.stderr.readline().decode()
+    line = read_log(started, "event=counters").splitlines()[-1]
     assert "rpc.read=1" in line and "interpreter.links=1" in line
     started.send_signal(signal.SIGINT)
-    time.sleep(0.1)
+    read_log(started, "event=draining")
     started.send_signal(signal.SIGINT)
     assert started.wait(1) == -signal.SIGINT
 
