--- a/hollystage/decisions/draining/drain_notice.py
+++ b/hollystage/decisions/draining/drain_notice.py
@@ -15,6 +15,7 @@
     """Determines from heartbeats when a drain notice was given; all times in microseconds of one clock.
 
     >>> notice = DrainNotice(grace=300_000, started_at=0)
+    >>> notice.confirm_no_notice(850_000)
     >>> for now in range(900_000, 1_050_001, 50_000):
     ...     notice.heartbeat(now)
     >>> notice.heartbeat(4_000_000)  # the process was suspended for three seconds
@@ -27,19 +28,22 @@
         self.grace = max(grace, 3 * HEARTBEAT_INTERVAL)  # so that no RPC is in doubt while heartbeats are on time
         # `last_clear`: last time at which no notice had been given
         self.last_clear = self.last_heartbeat = started_at
+        self.signals_awaited = False  # whether the thread that waits for signals has checked for them once
 
     def heartbeat(self, now: int) -> None:
         """Reports that a thread that otherwise only sleeps has just run.
 
         If the gap since the previous heartbeat is short, the thread that waits for signals could run in between; as
-        it reported none, no notice had been given before the previous heartbeat.
+        it reported none, no notice had been given before the previous heartbeat. During a start that thread does not
+        wait yet, and a heartbeat shows nothing.
         """
-        if now - self.last_heartbeat <= self.max_heartbeat_gap:
-            self.confirm_no_notice(self.last_heartbeat)
+        if self.signals_awaited and now - self.last_heartbeat <= self.max_heartbeat_gap:
+            self.last_clear = max(self.last_clear, self.last_heartbeat)
         self.last_heartbeat = now
 
     def confirm_no_notice(self, at: int) -> None:
-        """Reports that a check at or after `at` found no notice."""
+        """Reports that the thread that waits for signals found no notice by a check at or after `at`."""
+        self.signals_awaited = True
         self.last_clear, self.last_heartbeat = max(self.last_clear, at), max(self.last_heartbeat, at)
 
     def given_at(self, now: int) -> int:
--- a/tests/test_notice.py
+++ b/tests/test_notice.py
@@ -19,6 +19,7 @@
 @pytest.mark.parametrize("grace", [2_000_000, 300_000, 0])
 def test_only_a_suspension_puts_rpcs_in_doubt_and_not_a_late_heartbeat(grace):
     notice = DrainNotice(grace, 0)
+    notice.confirm_no_notice(0)
     for now in range(0, 10 * HEARTBEAT_INTERVAL, HEARTBEAT_INTERVAL):
         notice.heartbeat(now)
         assert not notice.in_doubt(now + HEARTBEAT_INTERVAL) \
@@ -38,6 +39,14 @@
     assert not notice.in_doubt(resumed + 10_000_001)
 
 
+def test_heartbeats_before_the_first_check_for_signals_show_nothing():
+    """During the start a notice may be pending although all threads run on time."""
+    notice = DrainNotice(300_000, 0)
+    for now in range(0, 1_000_001, HEARTBEAT_INTERVAL):
+        notice.heartbeat(now)
+    assert notice.given_at(1_000_000) == 0 and notice.in_doubt(1_000_000)
+
+
 @pytest.fixture
 def harness(tmp_path):
     harness = ServiceHarness(Interpreter(auto=False), stop_ms=2500)
