--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -10,11 +10,14 @@
 
 from hollystage.cli import app
 from hollystage.decisions.membership.members import Members
+from hollystage.policy.queues import MIN_LIMIT_SHARE
+from hollystage.service.health_reporter import REPORT_INTERVAL_S, REPORT_TIMEOUT_S
 from hollystage.standins.fleet import check
 from hollystage.standins.fleet.faults import Fault, Network, Schedule
 from hollystage.standins.fleet.fleet_simulation import FleetSimulation
-from hollystage.standins.fleet.rig import Load
+from hollystage.standins.fleet.rig import METHODS, Load
 from hollystage.standins.fleet.schedules import BUDGET_LOAD, SCENES, random_schedule, scene_schedule
+from hollystage.standins.services import ControlPlane
 
 RUN_TIMEOUT_S = 75.0
 
@@ -40,6 +43,15 @@
 TERM_WHILE_PAUSED = Schedule(5, 8.0, 771203, [
     Fault(0.66, "pause", ["m4"], amount=2.88), Fault(2.44, "term", ["m4"]),
     Fault(1.41, "reorder", ["m4"], both=True, amount=0.3), Fault(7.23, "start", ["m4"])])
+# m4 receives SIGTERM in a pause. Between the time from which on the checker allows no RPC sent to m4 to run and the
+# resume, all first attempts go to m4. The latest of them are younger than the shortest latency target (0.8 s) when m4
+# resumes, so that only the notice can keep them from running; and m4 is still listed, as its last report before the
+# pause (one each 0.8 s) is younger than the lifetime of reports (3 s).
+PAUSE_S, TERM_S, PREFERENCE_S = 0.3, 0.4, 0.6  # pause and SIGTERM, in the schedule; length of the preference
+FORBIDDEN_S = TERM_S + Load().drain_grace_ms / 1000 + check.DRAIN_TOLERANCE_S
+LATE_NOTICE = Schedule(5, 3.0, 9, [
+    Fault(PAUSE_S, "pause", ["m4"], amount=FORBIDDEN_S + PREFERENCE_S - PAUSE_S), Fault(TERM_S, "term", ["m4"]),
+    Fault(FORBIDDEN_S, "call", ["clients"], how='{"do": "favour", "name": "m4", "share": 1.0}')])
 # the voters, one of them the allocator, are killed or paused in turn; the fleet is cut in two; m4 has half the demand
 BUDGET = Schedule(5, 10.0, 8, [
     Fault(0, "call", ["clients"], how='{"do": "favour", "name": "m4", "share": 0.5}'),
@@ -50,8 +62,15 @@
     Fault(8.5, "heal", ["m0", "m3"], ["m1", "m2", "m4"], True), Fault(7.0, "clock", ["m4"], amount=1.01)],
     load=BUDGET_LOAD | {"whole": 14, "calls_out": 14.0, "rate": 200.0, "clients": 120, "lease_ms": 1000,
                         "warm_up_s": 3.0})
-CASES = {"budgets": (BUDGET, ""), "bounds-unheard": (BUDGET, "bounds-unheard"),
-         "asleep": (TERM_WHILE_PAUSED, ""), "hear-late": (TERM_WHILE_PAUSED, "hear-late"),
+# without the allocation (bounds-unheard) each member is bounded by its own call limit: from one to nine tenths of its
+# share of calls_out, in sum at least twice the whole. The demand of 200 RPCs/s * 0.66 * 0.2 s = 26 calls in progress
+# is more than four times the whole.
+SCARCE_UNITS = 6
+SCARCITY = Schedule(3, 3.0, 10, [], load=BUDGET_LOAD | {
+    "whole": SCARCE_UNITS, "calls_out": 2 * SCARCE_UNITS / MIN_LIMIT_SHARE, "rate": 200.0, "clients": 120,
+    "ledger_mean_ms": 200.0, "lease_ms": 1000, "warm_up_s": 3.0})
+CASES = {"budgets": (BUDGET, ""), "bounds-unheard": (SCARCITY, "bounds-unheard"),
+         "asleep": (TERM_WHILE_PAUSED, ""), "hear-late": (LATE_NOTICE, "hear-late"),
          "mixed": (MIXED, ""),
          "split": (SPLIT, ""), "never-ask-lost": (SPLIT, "never-ask-lost"),
          "forget-tokens": (RESETS, "forget-tokens"), "resets": (RESETS, ""),
@@ -242,6 +261,12 @@
             and not terminates_paused(random_schedule(3, kinds=("cut",))))
 
 
+def test_late_notice_sends_rpcs_to_the_paused_member_that_it_would_run():
+    pause = next(fault for fault in LATE_NOTICE.faults if fault.do == "pause")
+    assert pause.amount + REPORT_INTERVAL_S + REPORT_TIMEOUT_S < ControlPlane.REPORT_LIFETIME_S
+    assert PREFERENCE_S < min(method["target_s"] for method in METHODS)
+
+
 @pytest.mark.parametrize("fault, share", [
     (Fault(0, "cut", ["a"], ["b"]), 0.0), (Fault(0, "hold", ["a"], ["b"]), 0.0),
     (Fault(0, "lose", ["a"], ["b"], amount=0.3), 0.7), (Fault(0, "double", ["a"], ["b"], amount=0.5), 1.5),
