--- a/hollystage/standins/fleet/rig.py
+++ b/hollystage/standins/fleet/rig.py
@@ -420,8 +420,9 @@
     def _send_signal(self, name: str, number: int) -> None:
         process = self.member_processes[name]
         if process.poll() is None:
-            process.send_signal(number)
+            # before the signal is sent: the thread that monitors the process may record its end at once
             self.history.write("signal", name, number=int(number))
+            process.send_signal(number)
 
     def _resume_after(self, seconds: float, name: str) -> None:
         """Resumes a paused member after some seconds."""
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -4,6 +4,7 @@
 import subprocess
 import sys
 from concurrent.futures import ThreadPoolExecutor
+from types import SimpleNamespace
 
 import pytest
 from typer.testing import CliRunner
@@ -15,7 +16,8 @@
 from hollystage.standins.fleet import check
 from hollystage.standins.fleet.faults import Fault, Network, Schedule
 from hollystage.standins.fleet.fleet_simulation import FleetSimulation
-from hollystage.standins.fleet.rig import METHODS, Load
+from hollystage.standins.fleet.history import read_histories
+from hollystage.standins.fleet.rig import METHODS, Load, Rig
 from hollystage.standins.fleet.schedules import BUDGET_LOAD, SCENES, random_schedule, scene_schedule
 from hollystage.standins.services import ControlPlane
 
@@ -119,6 +121,16 @@
     assert code == 1 and rule in {violation["rule"] for violation in report["violations"]}
 
 
+def test_a_signal_is_recorded_before_it_can_end_the_process(tmp_path):
+    rig = Rig(Schedule(1), str(tmp_path))
+    recorded_before = []
+    rig.member_processes["m0"] = SimpleNamespace(
+        poll=lambda: None, send_signal=lambda number: recorded_before.extend(read_histories(str(tmp_path))))
+    rig._send_signal("m0", 9)
+    rig.network_reservation.close()
+    assert [(line["who"], line["what"], line["number"]) for line in recorded_before] == [("m0", "signal", 9)]
+
+
 # Checkers, on constructed histories
 
 def entry(t, who, what, **more):
