--- a/hollystage/standins/fleet/member.py
+++ b/hollystage/standins/fleet/member.py
@@ -25,7 +25,6 @@
 
     def __init__(self, path: str) -> None:
         self.path = path
-        self.wall_clock_offset = (time.time_ns() - time.monotonic_ns()) // 1000
         self.base_monotonic, self.base_time = time.monotonic_ns() // 1000, time.time_ns() // 1000
         self.rate, self.jump = 1.0, 0.0
         self.reload()
--- a/hollystage/standins/fleet/party.py
+++ b/hollystage/standins/fleet/party.py
@@ -310,7 +310,7 @@
     kind, path = sys.argv[1:]
     with open(path) as file:
         spec = json.load(file)
-    handlers = STANDINS[kind](spec, History(spec["folder"], spec.get("party", kind)))
+    handlers = STANDINS[kind](spec, History(spec["folder"], kind))
     sys.stdout.write("ready\n")
     sys.stdout.flush()
     for line in sys.stdin:
--- a/hollystage/standins/fleet/recovery_check.py
+++ b/hollystage/standins/fleet/recovery_check.py
@@ -134,7 +134,6 @@
     stop = next((line["t"] for line in lines if line["what"] == "stopped"), lines[-1]["t"])
     worth: dict[int, float] = defaultdict(float)
     calls = rpcs = 0
-    last = start
     for line in lines:
         second = (line["t"] - start) // SECOND
         if line["what"] == "rpc":
