--- a/hollystage/control.py
+++ b/hollystage/control.py
@@ -21,6 +21,7 @@
 # share of a latency target that the queueing time may reach before callers are asked to send less
 LONG_QUEUE_SHARE = 0.25
 MAX_REMEMBERED_CALLERS = 4096
+MIN_RECENT_RPCS = 0.01  # of each method, assumed in a mean over the RPCs that arrived recently
 MIN_IDLE_LIMIT = 10_000  # shortest idle limit of connections, microseconds
 # mean unread time as a share of the longest latency target: above the first value idle connections are kept
 # for the configured time, even if the table of connections fills up, until it falls below the second value
@@ -49,12 +50,18 @@
     def arrived(self, rpc: Rpc, now: int) -> None:
         """An RPC was read."""
         self.now = now
+        self._check_suspension()
         method, read_at = rpc.method, now - rpc.unread_time
         rpc.due = now + rpc.timeout if rpc.timeout else max(now, read_at + method.deadline)
         if self.stop_at:
             rpc.due = max(now, min(rpc.due, self.stop_at - 3 * TICK))
         rpc.target = read_at + method.latency_target - self._age(rpc)
         self.likely_retries.add(rpc.is_retry or rpc.target < read_at + method.latency_target, now)
+        if now - self.last_arrival_at > DECAY_SPAN:
+            # the measured rates are out of date: the first RPCs are classified as after a start
+            self.clients.clear()
+            self.rates_updated_at = now
+        self.last_arrival_at = now
         client = self.clients.get((rpc.tenant, method))
         if client is None:
             rho = (INITIAL_RATE * self.settings.cores / len(self.settings.methods)
@@ -89,8 +96,10 @@
     def finished(self, rpc: Rpc, outcome: Outcome, spent: int, now: int) -> None:
         """A run or a joined run ended, `spent` microseconds after its start."""
         self.now = now
+        self._check_suspension()
         self._note_progress()
-        # runs on hung cores say nothing about costs; halted runs do count, since they are the long ones
+        # runs on hung cores or over a suspension say nothing about costs; halted runs do count, since they
+        # are the long ones
         if rpc.state == RUNNING and outcome != Outcome.MOOT and now - spent >= self.hang_ended_at:
             self.run_times[rpc.method].add(max(1, spent - rpc.off_core_time), now, outcome == Outcome.OK)
             self.off_core_times[rpc.method].add(rpc.off_core_time, now)
@@ -107,10 +116,12 @@
     def call_finished(self, rpc: Rpc, outcome: Outcome, spent: int, now: int) -> None:
         """A downstream call ended after `spent` microseconds."""
         self.now = now
+        self._check_suspension()
         ok, usual = outcome == Outcome.OK, self.typical_call
-        slow_or_lost = spent > SLOW_CALL_FACTOR * usual > 0 if ok else outcome in REPLY_LOST
+        measured = now - spent >= self.suspended_until  # else the reply waited for this process
+        slow_or_lost = measured and spent > SLOW_CALL_FACTOR * usual > 0 if ok else outcome in REPLY_LOST
         self.slow_or_lost_replies.add(slow_or_lost, now, outcome != Outcome.CANCELLED)
-        if ok:
+        if ok and measured:
             # rises slowly and falls quickly, to estimate the duration of a call when nothing is wrong
             self.typical_call += (spent - usual) * ((0.02 if spent > usual else 0.2) if usual else 1)
         elif outcome == Outcome.TIMEOUT:
@@ -158,6 +169,7 @@
     def tick(self, gauges: dict[str, float], now: int) -> None:
         """The timer fired. `gauges`: latest values of the configured gauges; empty if they are outdated."""
         self.now = now
+        self._check_suspension()
         if self.stall_detector.on_timer(now, TICK):
             self.call_limit.on_stall(now)
         running, queued = self.state_counts[RUNNING], self.state_counts[QUEUED]
@@ -182,9 +194,7 @@
             self._update_rates()
             self._update_idle_limit()
             if self.calendar is not None:
-                costs = [(c.arrivals.read(now), self._usual_cost(c.method)) for c in self.clients.values()]
-                work = sum(count * cost for count, cost in costs) / max(1e-9, sum(n for n, _ in costs))
-                self.calendar.update_rate(1e6 * self.run_limit / max(1.0, work), now)
+                self.calendar.update_rate(1e6 * self.run_limit / max(1.0, self._mean_cost()), now)
         self._update_load_signal()
         self.actions.append(Action(ActionKind.TIMER, duration=TICK))
 
@@ -195,6 +205,13 @@
         actions, self.actions = self.actions, []
         return actions
 
+    def _check_suspension(self) -> None:
+        """After a long suspension of this process, counts nothing that was in progress as hung or slow."""
+        if self.stall_detector.lateness(self.now) > self.max_target:
+            self.stall_detector.due = self.now + TICK
+            self.call_limit.on_stall(self.now)
+            self.progress_at = self.hang_ended_at = self.suspended_until = self.now
+
     def _note_progress(self) -> None:
         """Records that the cores made progress, which ends a hang."""
         self.hang_ended_at = self.now if self.cores_hung else self.hang_ended_at
@@ -237,6 +254,8 @@
             if rpc.state == WAITING and not rpc.answered and (
                     self._time_for_call(rpc) < 0 < rpc.method.skip_share):
                 self._resume(rpc, SKIP)
+        for queue in self.call_queues:
+            self._head(queue, WAITING)  # removes ended RPCs also while no call may be made
 
     def _update_rates(self) -> None:
         """Sets the rho of each client: its part of the capacity, which is `run_limit` runs at usual costs."""
@@ -279,6 +298,14 @@
                 [(self.method_numbers[m], rate, costs[m]) for m, rate in method_rates.items()],
                 self.run_limit)
 
+    def _mean_cost(self) -> float:
+        """Mean usual cost of the RPCs that arrived recently; of all methods if hardly any did."""
+        counts = dict.fromkeys(self.method_numbers, MIN_RECENT_RPCS)
+        for client in self.clients.values():
+            counts[client.method] += client.arrivals.read(self.now)
+        work = sum(count * self._usual_cost(method) for method, count in counts.items())
+        return work / sum(counts.values())
+
     def _update_idle_limit(self) -> None:
         """Adapts how long idle connections are kept."""
         # keeps the table of connections from overflowing: where few RPCs come from callers that were seen
--- a/hollystage/decisions/calls/pacing.py
+++ b/hollystage/decisions/calls/pacing.py
@@ -37,7 +37,10 @@
         """
         whole, elapsed = int(self.limit), now - self.updated_at
         extra = max(0, self.in_flight - whole)
-        self.debt = max(0.0, self.debt + (extra - (self.limit - whole)) * elapsed)
+        fraction = self.limit - whole
+        # no call lasts longer than the span: for the rest of a longer time this process was suspended
+        counted = min(elapsed, self.averaging_span)
+        self.debt = max(0.0, self.debt + (extra - fraction) * counted - fraction * (elapsed - counted))
         self.updated_at, self.limit = now, limit
         return int(limit) + (self.debt <= 0 and limit > int(limit))
 
--- a/hollystage/decisions/membership/state.py
+++ b/hollystage/decisions/membership/state.py
@@ -122,6 +122,8 @@
         old = self.records.get(record.name)
         self.records[record.name] = record
         self.view_changed = True
+        if old is not None and self.name_by_address.get(old.address) == record.name:
+            del self.name_by_address[old.address]
         if record.living:
             self.gone.pop(record.name, None)
             self.name_by_address[record.address] = record.name
--- a/hollystage/decisions/stall_detector.py
+++ b/hollystage/decisions/stall_detector.py
@@ -17,6 +17,10 @@
 
     def on_timer(self, now: int, next_in: int) -> int:
         """Returns how late the timer fired; 0 within the tolerance. `next_in`: time until the next timer."""
-        late = now - self.due if self.due else 0
+        late = self.lateness(now)
         self.due = now + next_in
-        return late if late > self.tolerance else 0
+        return late
+
+    def lateness(self, now: int) -> int:
+        """Returns for how long the timer has been due; 0 within the tolerance."""
+        return now - self.due if self.due and now - self.due > self.tolerance else 0
--- a/hollystage/policy/queues.py
+++ b/hollystage/policy/queues.py
@@ -58,6 +58,7 @@
             m: (lowest / m.criticality) ** 0.5 if m.criticality else 1.0 for m in settings.methods}
         # no call starts before `next_call_at`; the adapter may set a later time
         self.progress_at = self.rates_updated_at = self.hang_ended_at = self.cut_at = self.next_call_at = now
+        self.suspended_until, self.last_arrival_at = 0, now  # end of the last long suspension; last RPC read
         self.stop_at = self.grace_ends_at = self.sequence = 0
         # share of their load that callers may send; the last load signal, -1 before the first one
         self.admit_level, self.sent_signal = 0.3 if settings.cold else 1.0, -1.0
