--- a/hollystage/control.py
+++ b/hollystage/control.py
@@ -323,12 +323,29 @@
             self.sent_signal = value
             self.actions.append(Action(ActionKind.LOAD_SIGNAL, value=value))
 
+    def _skip_less_valuable_calls(self, max_calls: float) -> None:
+        """Skips waiting calls that keep RPCs of more value waiting, where those cannot be answered without theirs.
+
+        Without its call an RPC loses the part of its criticality that `skip_share` does not keep. Calls are the
+        bottleneck only if there are more waiting ones than free slots.
+        """
+        free = max_calls - self.state_counts[CALLING] - len(self.lingering_calls)
+        if self.state_counts[WAITING] <= max(0, free):
+            return
+        for queue in self.call_queues[:len(self.call_queues) - 1 or 1]:
+            waiting = [rpc for _, _, rpc in queue if rpc.state == WAITING and not rpc.answered]
+            needed = max((rpc.method.criticality for rpc in waiting if not rpc.method.skip_share), default=0.0)
+            for rpc in waiting:
+                if rpc.method.skip_share and rpc.method.criticality * (1 - rpc.method.skip_share) < needed:
+                    self._resume(rpc, SKIP)
+
     def _dispatch(self) -> None:
         """Makes calls and starts runs as far as limits, memory and pools allow."""
         while self.lingering_calls and self.lingering_calls[0] <= self.now:
             heappop(self.lingering_calls)
         deferred: list[Rpc] = []
         max_calls = self.pacer.allowed(self.call_limit.value, self.now)
+        self._skip_less_valuable_calls(max_calls)
         while self.now >= self.next_call_at and (
                 queue := self._next_queue(self.call_queues, WAITING, max_calls,
                                           self.state_counts[CALLING] + len(self.lingering_calls))):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -264,6 +264,22 @@
     assert ActionKind.CALL in harness.did(first) and ActionKind.CALL not in harness.did(second)
 
 
+@pytest.mark.parametrize("criticality, skipped", [(0.8, True), (0.6, False)])
+def test_waiting_call_is_skipped_while_a_more_valuable_rpc_needs_its_own(criticality, skipped):
+    """Without its call the first RPC loses 0.7 of its criticality of 1."""
+    harness = ControlHarness(lookup(skip_share=0.3), lookup(criticality=criticality), calls_out=1.0, cores=4)
+    harness.advance(4 * SECOND)
+    calling, skippable, other = [harness.send(harness.methods[number]) for number in (0, 0, 1)]
+    for rpc in (calling, skippable):
+        harness.at_call(rpc)
+    assert ActionKind.CALL in harness.did(calling) and ActionKind.SKIP not in harness.did(skippable)
+    harness.at_call(other)
+    assert (ActionKind.SKIP in harness.did(skippable)) is skipped
+    harness.end_call(calling, Outcome.OK)
+    harness.advance(SECOND)
+    assert ActionKind.CALL in harness.did(other if skipped else skippable)
+
+
 @pytest.mark.parametrize("pooling", [None, PoolConfig((Pool("all", 1.0),), (0,))])
 def test_call_limit_below_one_is_kept_on_average(pooling):
     harness = ControlHarness(lookup(), calls_out=0.5, pooling=pooling)
