--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -105,6 +105,10 @@
                  {"Name": "booking", "Repeat": "by_key", "Value": 2.0, "PromiseUs": 2e6, "GiveUpUs": 4e6,
                   "WindowUs": 8e6},
                  {"Name": "order", "Repeat": "once", "Value": 2.0, "PromiseUs": 2e6, "GiveUpUs": 4e6}]}
+NO_IDLE_LIMIT = SETTINGS | {"Domain": SETTINGS["Domain"] | {"IdleUs": 0}}  # the module sets none of its own either
+# latency targets and deadlines that no stall of a busy machine reaches
+PATIENT = NO_IDLE_LIMIT | {
+    "Profiles": [profile | {"PromiseUs": 2e7, "GiveUpUs": 3e7} for profile in SETTINGS["Profiles"]]}
 
 
 class ServiceHarness:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -11,7 +11,7 @@
 import time
 
 import pytest
-from helpers import SETTINGS, Interpreter, ScriptedHttpServer, ServiceHarness, reply, wait_until
+from helpers import PATIENT, SETTINGS, Interpreter, ScriptedHttpServer, ServiceHarness, reply, wait_until
 
 from hollystage.service.config import parse
 from hollystage.service.driver import clock
@@ -268,11 +268,12 @@
 def test_the_tenant_and_the_cost_of_an_rpc_reach_the_module():
     tenants = [{"Name": "walk-up", "QuotaPerS": 5.0}, {"Name": "Agents & Co", "QuotaPerS": 3.0}]
     with ServiceHarness(Interpreter(auto=False), settings=SETTINGS | {"Tenants": tenants}) as harness:
-        harness.caller().send(X_Tenant="Agents & Co", X_Cost_Ms="507.12")
+        caller = harness.caller().send(X_Tenant="Agents & Co", X_Cost_Ms="507.12")
         harness.interpreter.await_runs()
         exchange, = harness.instance.driver.exchanges.values()
         assert exchange.rpc.tenant is harness.instance.driver.settings.tenants[1]
         assert exchange.rpc.work_hint == 507_120
+        caller.sock.close()
 
 
 # The interpreter
@@ -586,8 +587,8 @@
 
 
 @pytest.fixture
-def process(tmp_path):
-    harness = ServiceHarness(Interpreter(auto=False))
+def process(tmp_path, request):
+    harness = ServiceHarness(Interpreter(auto=False), **getattr(request, "param", {}))
     started = start(tmp_path / "config.json", harness)
     yield started, harness
     started.kill()
@@ -706,6 +707,65 @@
         assert words in log
 
 
+@pytest.mark.parametrize("process", [{"settings": PATIENT}], indirect=True)
+def test_last_valid_of_five_configurations_in_a_row_is_in_force(process, tmp_path):
+    """The third is invalid and its file is being read while the last two arrive. RPCs and connections stay."""
+    started, harness = process
+    path, log = tmp_path / "config.json", []
+    log_reader = threading.Thread(target=lambda: [log.append(line.decode()) for line in started.stderr], daemon=True)
+    log_reader.start()
+    ledgers = [ScriptedHttpServer(reply(200, b"%d" % number)) for number in range(1, 6)]
+
+    def configure(number):
+        new = tmp_path / "new.json"
+        if number == 3:
+            os.mkfifo(new)  # whoever opens it waits for the other side
+        else:
+            host, port = ledgers[number - 1].address
+            new.write_text(json.dumps(harness.json_config | {"ledger": f"{host}:{port}"}))
+        new.replace(path)
+        started.send_signal(signal.SIGHUP)
+
+    def await_log(event, after=""):
+        wait_until(lambda: event in "".join(log).partition(after or "=serving")[2])
+
+    resting = [harness.caller() for _ in range(6)]
+    assert [get(caller, "/status/live") for caller in resting] == [200] * 6
+    harness.ledger.replies = [None]
+    callers = [harness.caller().send("order", X_Timeout_Ms="20000") for _ in range(2)]
+    calling, running = (caller.request_id for caller in callers)
+    harness.interpreter.await_runs(2)
+    harness.interpreter.send_notice("AWAIT", calling, b"the first call")
+    wait_until(lambda: harness.ledger.received)
+    configure(1)
+    await_log("configuration read anew")
+    configure(2)
+    configure(3)
+    with open(path, "wb") as fifo:
+        configure(4)
+        configure(5)
+        served = resting[0].send()
+        harness.interpreter.end(harness.interpreter.await_runs(3)[-1], b"meanwhile")
+        assert served.receive().body == b"meanwhile"
+        fifo.write(b'{"name": ')
+    await_log("configuration read anew", after="new configuration rejected")
+    harness.interpreter.send_notice("AWAIT", running, b"the second call")
+    wait_until(lambda: ledgers[4].received)
+    harness.ledger.connections[-1].sendall(reply(200, b"old"))  # the first call ends where it began
+    wait_until(lambda: {command["req"]: command["payload"] for command in harness.interpreter.commands("RESOLVE")}
+               == {calling: "b2xk", running: "NQ=="})
+    harness.interpreter.end(calling, b"one")
+    harness.interpreter.end(running, b"two")
+    assert [caller.receive().body for caller in callers] == [b"one", b"two"]
+    assert [get(caller, "/status/live") for caller in resting] == [200] * 6
+    assert len(harness.interpreter.commands("APPLY")) == 3 and not any(ledger.received for ledger in ledgers[:4])
+    started.terminate()
+    assert started.wait(5) == 0
+    log_reader.join(5)
+    text = "".join(log)
+    assert text.count("rejected") == 1 and "Traceback" not in text and "rpc.ok=3" in text
+
+
 def test_threads_run_under_the_batch_scheduling_policy(process):
     """A woken thread must not preempt the thread that woke it and still holds Python's global interpreter lock."""
     started, _ = process
@@ -770,7 +830,7 @@
 
 def test_sigusr1_logs_counters_and_second_sigint_kills(process):
     started, harness = process
-    harness.caller().send("order")
+    caller = harness.caller().send("order")  # stays open
     harness.interpreter.await_runs()
     started.send_signal(signal.SIGUSR1)
     line = wait_until(lambda: started.stderr.readline().decode())
@@ -781,6 +841,7 @@
     time.sleep(0.1)
     started.send_signal(signal.SIGINT)
     assert started.wait(1) == -signal.SIGINT
+    caller.sock.close()
 
 
 CONFIG = {"name": "n3", "listen": "127.0.0.1:65000", "vm": "127.0.0.1:9300", "control": "127.0.0.1:8500",
