--- a/hollystage/interface.py
+++ b/hollystage/interface.py
@@ -236,7 +236,7 @@
         caller: Number that identifies the caller or its connection.
         tenant: The tenant; None if tenants are not configured.
         size: Memory that the RPC takes once read, kilobytes.
-        timeout: How long the caller still waits, microseconds; 0 if unknown.
+        timeout: How long the caller still waits, microseconds; 0 if unknown, negative if that time is over.
         unread_time: How long the RPC lay unread before it was read, microseconds.
         is_retry: Whether the caller marked it as a retry or a second copy.
         earlier: The remembered RPC with the same idempotency key, if there is one.
--- a/hollystage/service/clients.py
+++ b/hollystage/service/clients.py
@@ -15,7 +15,7 @@
 from ..interface import ActionKind, MethodKind, Outcome, Rpc
 from .buffers import BufferPool, IncompleteMessageError, Stream, set_socket_timeout
 from .config import Address
-from .connection import CallerStream, Connection, closed_by_peer, has_unread_bytes
+from .connection import CallerStream, Connection, await_acknowledgement, closed_by_peer, has_unread_bytes
 from .counters import Counters
 from .driver import Driver, clock
 from .exchange import CallerDisconnected, Exchange, ExchangeEvent, RunResult
@@ -33,6 +33,7 @@
 # accepted X-Request-Start: how far ahead of our clock, how far past the method's deadline
 MAX_CLOCK_AHEAD_MS, MAX_PAST_DEADLINE_MS = 5_000, 30_000
 MAX_TIMEOUT_DEADLINES = 10  # largest X-Timeout-Ms, in deadlines of the method
+NO_TIME_LEFT = -1  # microseconds; a timeout of 0 would mean that it is unknown
 DEEP_CHECK_TIMEOUT_S = 1.0  # for the interpreter to answer a deep health check
 DECISION_TIMEOUT_S = 1.0  # past an RPC's due time; the decision module must have answered long before
 BIND_TIMEOUT_S = 2.0  # how long the listen address may still be in use
@@ -235,11 +236,14 @@
             stream = CallerStream(connection, buffer)
             deadline: float | None = connection.opened_at + FIRST_MESSAGE_TIMEOUT_S
             while stream.fill(deadline) if stream.is_empty() else True:
-                connection.idle_since = 0.0
+                self._set_idle_since(connection, 0.0)
                 if not self._handle_message(connection, stream, deadline or time.monotonic() + MESSAGE_TIMEOUT_S):
                     self._linger(connection, stream)
                     break
-                deadline, connection.idle_since = None, time.monotonic()
+                deadline = None
+                self._set_idle_since(connection, time.monotonic())
+            if connection.reading_shut:
+                await_acknowledgement(sock, LINGER_S)
         except TimeoutError:
             self.counters.add("clients.silent")
         except OSError:
@@ -251,8 +255,15 @@
             self.pool.release(buffer)
             self._close_connection(connection)
 
+    def _set_idle_since(self, connection: Connection, idle_since: float) -> None:
+        # under the lock: a check that found the connection idle must shut it before it counts as busy
+        with self.lock:
+            connection.idle_since = idle_since
+
     def _linger(self, connection: Connection, stream: Stream) -> None:
         """Reads until the client closes: closing with unread input sends a reset, which may drop the last answer."""
+        if connection.reading_shut:
+            return  # a receive no longer blocks, and after SHUT_WR the kernel answers any input with a reset
         connection.sock.shutdown(socket.SHUT_WR)
         deadline = time.monotonic() + LINGER_S
         stream.discard()
@@ -333,7 +344,12 @@
         if header.timeout_ms is not None and header.timeout_ms > MAX_TIMEOUT_DEADLINES * deadline_ms:
             raise HttpError(400, "x-timeout-ms is out of range")
         unread_time = max(0, unread_time)
-        timeout = max(1, header.timeout_ms * 1000 - unread_time) if header.timeout_ms is not None else 0
+        timeout = 0  # unknown
+        if header.timeout_ms is not None:
+            timeout = header.timeout_ms * 1000 - unread_time or NO_TIME_LEFT
+        if self._is_closed_by_caller(connection):
+            self.counters.add("rpc.gone")
+            return None
         rpc = Rpc(method, header.caller, None, header.memory_kb, timeout, unread_time, header.is_retry)
         key = (name, header.idempotency_key) if method.kind is MethodKind.KEYED and header.idempotency_key else None
         exchange = Exchange(rpc, header.request_id, key, request.body if key else b"")
@@ -343,7 +359,7 @@
         self.counters.add("rpc.read")
         try:
             self._attach_exchange(connection, exchange)
-            event_timeout = (timeout or method.deadline) / 1e6 + DECISION_TIMEOUT_S
+            event_timeout = max(0, timeout or method.deadline) / 1e6 + DECISION_TIMEOUT_S
             while True:
                 event = _next_event(exchange, event_timeout)
                 if isinstance(event, CallerDisconnected):
@@ -386,6 +402,10 @@
         if self.driver.call_finished(exchange, outcome, clock() - started_at) and outcome is Outcome.OK:
             self.link.resolve(exchange.request_id, reply)
 
+    def _is_closed_by_caller(self, connection: Connection) -> bool:
+        with self.lock:
+            return connection.peer_closed
+
     def _attach_exchange(self, connection: Connection, exchange: Exchange) -> None:
         """From now on a close of the connection is reported for this RPC."""
         with self.lock:
--- a/hollystage/service/connection.py
+++ b/hollystage/service/connection.py
@@ -2,8 +2,11 @@
 from __future__ import annotations
 
 import contextlib
+import fcntl
 import select
 import socket
+import struct
+import termios
 import time
 
 from .buffers import Stream
@@ -12,6 +15,8 @@
 # wait for the rest of a message that was in transit when we shut the reading side; interval between two polls
 PENDING_MESSAGE_S, PENDING_MESSAGE_POLL_S = 0.5, 0.01
 RESERVED_DESCRIPTORS = 12  # descriptors kept for the listener, the interpreter link, reports and files
+ACKNOWLEDGEMENT_POLL_MS = 5  # interval between two checks whether all output was acknowledged
+C_INT = struct.Struct("i")
 
 
 class Connection:
@@ -72,3 +77,20 @@
     poll = select.poll()
     poll.register(sock, select.POLLRDHUP)
     return bool(poll.poll(0))
+
+
+def await_acknowledgement(sock: socket.socket, timeout: float) -> None:
+    """Waits up to `timeout` seconds until the peer has acknowledged all that was sent, or has reset the connection.
+
+    After that a reset by us, which the kernel sends when input arrives at a closed socket, drops no answer.
+    """
+    poll = select.poll()
+    poll.register(sock, 0)  # reports a reset only
+    deadline = time.monotonic() + timeout
+    while _unacknowledged_bytes(sock) and time.monotonic() < deadline and not poll.poll(ACKNOWLEDGEMENT_POLL_MS):
+        pass
+
+
+def _unacknowledged_bytes(sock: socket.socket) -> int:
+    count: int = C_INT.unpack(fcntl.ioctl(sock, termios.TIOCOUTQ, bytes(C_INT.size)))[0]
+    return count
--- a/hollystage/service/driver.py
+++ b/hollystage/service/driver.py
@@ -142,6 +142,8 @@
         The driver handles what is left in the mailbox and all later actions for the RPC.
         """
         with self.lock:
+            if exchange.earlier is not None:
+                self.idempotency_table.leave(exchange, exchange.earlier)
             exchange.has_thread, exchange.cancel_call, exchange.earlier = False, None, None
             self._abandon(exchange)
             while not exchange.mailbox.empty():
--- a/hollystage/service/http.py
+++ b/hollystage/service/http.py
@@ -167,7 +167,7 @@
     if not 0 < memory < 2000:
         raise HttpError(400, "x-memory-kb is missing or malformed")
     return RpcFields(fields["x-request-id"], int(fields["x-request-start"]), int(fields["x-caller"]),
-                     int(timeout) if timeout else None, fields.get("x-retry") == "1", memory,
+                     None if timeout is None else int(timeout), fields.get("x-retry") == "1", memory,
                      fields.get("idempotency-key"))
 
 
--- a/hollystage/service/idempotency.py
+++ b/hollystage/service/idempotency.py
@@ -74,6 +74,12 @@
             entry.waiters.append(exchange)
         return entry.result
 
+    def leave(self, exchange: Exchange, earlier: Exchange) -> None:
+        """Removes a repeat that was answered, or whose caller disconnected, before the earlier RPC's run ended."""
+        entry = self._entry_of(earlier)
+        if entry is not None and exchange in entry.waiters:
+            entry.waiters.remove(exchange)
+
     def expire(self, now: int) -> None:
         """Removes the entries that have expired."""
         while self.expiries and self.expiries[0][0] < now:
