--- a/tests/test_discovery_outage.py
+++ b/tests/test_discovery_outage.py
@@ -7,6 +7,7 @@
 import os
 import re
 import signal
+import socket
 import subprocess
 import sys
 import time
@@ -92,6 +93,18 @@
             if report.path.endswith(f"/{service.name}")]
 
 
+def bound_socket(address):
+    """Returns a socket that is bound to the address and does not listen; None if it is in use."""
+    sock = socket.socket()
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    try:
+        sock.bind(address)
+    except OSError:
+        sock.close()
+        return None
+    return sock
+
+
 def test_outage_of_discovery_with_a_restart_and_a_drain(services):
     staying, restarted, drained = services
     control = staying.harness.control
@@ -101,7 +114,8 @@
     (request_id,) = drained.harness.interpreter.await_runs()
     descriptors, threads = staying.resources()
 
-    control.close()  # connections are refused
+    control.close()  # connections are refused, and no other socket takes the port meanwhile
+    reserved = wait_until(lambda: bound_socket(control.address))
     restarted.process.kill()
     restarted.process.wait()
     restarted.process.stderr.close()
@@ -113,6 +127,7 @@
 
     control.replies, silent_since = [None], len(control.received)
     control.listen()  # connections are accepted and get no reply
+    reserved.close()
     wait_until(lambda: len(reports(control, staying, silent_since)) >= 5, 20)
     drain_started = time.monotonic()
     drained.process.send_signal(signal.SIGTERM)
--- a/tests/test_tenants.py
+++ b/tests/test_tenants.py
@@ -30,7 +30,8 @@
     with with_tenants(Interpreter(auto=False)) as harness:
         now = b"%d" % (time.time() * 1000)
         request = RPC.replace(b"1764576000123", now).replace(b"X-Caller: 4", b"X-Caller: 4\r\n" + fields)
-        harness.caller().sock.sendall(request)
+        caller = harness.caller()
+        caller.sock.sendall(request)
         harness.interpreter.await_runs()
         driver = harness.instance.driver
         exchange, = driver.exchanges.values()
