--- a/hollystage/service/clients.py
+++ b/hollystage/service/clients.py
@@ -26,8 +26,8 @@
 
 # from a connection's start to the end of its first message; closes silent and slow connections
 FIRST_MESSAGE_TIMEOUT_S = 1.5
-# age that a new connection reaches before it may be evicted; share of the table: with more new connections than
-# this, no established one is evicted
+# age that a new connection reaches before it may be closed while it is idle or evicted; share of the table: with
+# more new connections than this, no established one is evicted
 MIN_CONNECTION_AGE_S, FLOOD_SHARE = 0.3, 0.25
 MESSAGE_TIMEOUT_S = 2.0  # from the first byte of a later message to its last
 SEND_TIMEOUT_S = 5.0  # for the client to receive an answer
@@ -218,11 +218,16 @@
                 self._close_idle(now)
 
     def _close_idle(self, now: float) -> None:
-        """Closes connections that exceed the idle limit, or all idle ones during shutdown."""
+        """Closes connections that exceed the idle limit, or all idle ones during shutdown.
+
+        Connections that were just opened are spared, since their first RPC is probably in transit.
+        """
         limit = self.driver.idle_limit / 1e6
+        first_limit = max(limit, MIN_CONNECTION_AGE_S)
         with self.lock:
             for connection in self.connections.values():
-                if connection.idle_since and (self.closing or limit and now - connection.idle_since > limit):
+                max_idle = limit if connection.message_received else first_limit
+                if connection.idle_since and (self.closing or limit and now - connection.idle_since > max_idle):
                     self.counters.add("clients.idle_closed")
                     self._shut_reading(connection)
 
--- a/hollystage/service/recovery_manager.py
+++ b/hollystage/service/recovery_manager.py
@@ -79,6 +79,8 @@
     def initialize(self, control: Control, now: int) -> None:
         """Restores the stored statistics, weighted by their age, into a new decision module."""
         self.ramp_controller = RampController(control, now, self.configured_instances, control.settings.cold)
+        if self.call_limiter is not None:
+            self.limit_expires_at = 0  # the allocation was applied to the module before this one
         if self.stored is not None:
             self.restored_weights = recovery.restore_learned(control, self.method_names, self.stored.learned,
                                                              self.stored_age_s, now)
--- a/tests/test_allotment.py
+++ b/tests/test_allotment.py
@@ -10,6 +10,7 @@
 from hollystage.policy.buckets import CALLING, TICK, WAITING
 from hollystage.service.budget_limiter import BudgetLimiter
 from hollystage.service.counters import Counters
+from hollystage.service.driver import Driver, clock
 from hollystage.service.recovery_manager import RecoveryManager
 
 
@@ -129,3 +130,12 @@
     harness.now = 100 * SECOND
     manager.update_limit(harness.control, harness.now)
     assert harness.control.call_limit.value <= 1 and manager.limit_expires_at == FOREVER
+
+
+def test_allocation_bounds_the_module_that_a_restarted_interpreter_gets():
+    harness = ControlHarness(lookup(), calls_out=100.0)
+    driver = Driver(harness.settings, 1, Counters())
+    manager = RecoveryManager(driver, ["a"], 5, None, 0, 1, 1, clock, Counters(), None)
+    manager.set_call_limiter(BudgetLimiter(FakeEndpoint((FOREVER, 1)), "calls"))
+    driver.interpreter_started(cold=False, age=0)
+    assert driver.control.call_limit.value == 1.0
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -70,6 +70,15 @@
         assert (answer.status, answer.keep_alive) == (200, False)
 
 
+def test_idle_limit_spares_connections_that_were_just_opened(monkeypatch):
+    monkeypatch.setattr(clients_module, "MIN_CONNECTION_AGE_S", 30.0)
+    with ServiceHarness() as harness:
+        established, new = harness.caller(), harness.caller()
+        assert established.request().status == 200
+        harness.instance.driver.idle_limit = 10_000
+        assert established.wait_closed() and new.request().status == 200
+
+
 def test_incomplete_message_on_a_shut_connection_times_out(monkeypatch):
     monkeypatch.setattr(connection_module, "PENDING_MESSAGE_S", 0.1)
     with ServiceHarness() as harness:
